--- a/packages/almondrelay-gateway/src/connection/__fixtures__/makeRequest.ts
+++ b/packages/almondrelay-gateway/src/connection/__fixtures__/makeRequest.ts
@@ -1,7 +1,7 @@
 import type { CallerRequest } from '../../request/callerRequest.js'
 import { makeRoute } from '../../version/__fixtures__/makeRoute.js'
 
-/** A request with some of its parts replaced. */
+/** Builds a request from defaults, with the given fields replaced. */
 export function makeRequest (request: Partial<CallerRequest> = {}): CallerRequest {
   return {
     id: 'r1',
--- a/packages/almondrelay-gateway/src/connection/__fixtures__/scriptedTarget.ts
+++ b/packages/almondrelay-gateway/src/connection/__fixtures__/scriptedTarget.ts
@@ -2,7 +2,7 @@
 
 type Script = (socket: Socket, requestNumber: number) => void
 
-/** A listener on loopback that answers the n-th request it reads by a script of raw bytes. */
+/** Starts a TCP server on loopback that calls the script with the socket for each request it reads. Resolves with the port. */
 export async function startScriptedTarget (script: Script, signal: AbortSignal): Promise<number> {
   const server = createServer((socket) => {
     let requests = 0
@@ -17,6 +17,6 @@
   signal.addEventListener('abort', () => { server.close() })
   await new Promise<void>((resolve) => { server.listen(0, '127.0.0.1', resolve) })
   const address = server.address()
-  if (address === null || typeof address === 'string') throw new Error('no port')
+  if (address === null || typeof address === 'string') throw new Error('server listens on no port')
   return address.port
 }
--- a/packages/almondrelay-gateway/src/connection/__tests__/bodyMemory.test.ts
+++ b/packages/almondrelay-gateway/src/connection/__tests__/bodyMemory.test.ts
@@ -2,9 +2,9 @@
 import * as assert from 'uvu/assert'
 import { BodyMemory } from '../bodyMemory.js'
 
-const test = suite('BodyMemory')
+const test = suite('AnswerMemory')
 
-test('new requests are refused from half of the bound on, and taken again when bytes are given back', () => {
+test('the memory counts as filling above half of the bound, until bytes are released', () => {
   const memory = new BodyMemory(100)
   assert.ok(memory.hold(50))
   assert.not(memory.isFilling)
@@ -14,7 +14,7 @@
   assert.not(memory.isFilling)
 })
 
-test('bytes beyond the bound are told of, and count until they are given back', () => {
+test('bytes beyond the bound are reported, and count until they are released', () => {
   const memory = new BodyMemory(100)
   assert.not(memory.hold(120))
   assert.is(memory.heldBytes, 120)
--- a/packages/almondrelay-gateway/src/connection/__tests__/callerServer.test.ts
+++ b/packages/almondrelay-gateway/src/connection/__tests__/callerServer.test.ts
@@ -8,14 +8,14 @@
 
 const test = suite('CallerServer')
 
-/** More than the socket buffers of both sides hold. */
+/** More bytes than the socket buffers of both sides hold. */
 const LARGE_ANSWER_BYTES = 16 * 1024 * 1024
 
-/** A server whose answers the test gives by hand, in any order. */
+/** Server that holds requests until the test answers them, in any order. */
 class HeldServer {
   port = 0
   readonly paths: string[] = []
-  /** Paths of the requests whose caller is known to have left. */
+  /** Paths of the requests whose signal reported that the caller disconnected. */
   readonly left: string[] = []
   private readonly finishers = new Map<string, (answer: CallerAnswer) => void>()
   readonly memory = new BodyMemory(Infinity)
@@ -42,7 +42,7 @@
     if (check()) return
     await new Promise((resolve) => { setTimeout(resolve, 5) })
   }
-  throw new Error(`never came: ${what}`)
+  throw new Error(`timed out waiting for ${what}`)
 }
 const start = async (): Promise<{ held: HeldServer, socket: Socket }> => {
   const held = new HeldServer()
@@ -52,10 +52,10 @@
 }
 const makeGet = (path: string): string => `GET ${path} HTTP/1.1\r\nHost: a.example\r\n\r\n`
 
-// A host is stopped while a caller has two requests out on one connection, and the second is answered by its
-// target first. A count of unanswered requests told neither answer to end the connection: the caller kept
-// sending on it until the process was ended by force with requests at targets.
-test('at a planned stop every request that was read is answered, whichever ends first', async () => {
+// A host stops while a caller has two requests on one connection, and the target answers the second one first. With a decision by
+// the number of unanswered requests neither answer closed the connection: the caller kept sending on it until the process
+// was killed while its requests were running.
+test('at a planned stop every request that was read is answered, in whatever order the answers arrive', async () => {
   const { held, socket } = await start()
   const seen = read(socket)
   socket.write(makeGet('/1') + makeGet('/2'))
@@ -69,9 +69,9 @@
   held.server.close()
 })
 
-// A caller asks for a large answer and doesn't read it. What is held for it counts, so that others are refused in time, until
-// its connection ends.
-test('a large answer counts until its caller has it or is gone', async () => {
+// A caller requests a large answer and doesn't read it. The bytes held for it count until its connection ends, so that other
+// requests are refused in time.
+test('a large answer counts until its caller has received it or disconnected', async () => {
   const { held, socket } = await start()
   socket.pause()
   socket.write(makeGet('/large'))
@@ -79,21 +79,21 @@
   held.answer('/large', 'x'.repeat(LARGE_ANSWER_BYTES))
   await waitFor(() => held.memory.heldBytes === LARGE_ANSWER_BYTES, 'the bytes held')
   socket.destroy()
-  await waitFor(() => held.memory.heldBytes === 0, 'the bytes given back')
+  await waitFor(() => held.memory.heldBytes === 0, 'the release of the bytes')
   const next = connect(held.port, '127.0.0.1')
   const seen = read(next)
   next.write(makeGet('/next'))
   await waitFor(() => held.paths.length === 2, 'the next request')
   held.answer('/next', 'x'.repeat(100_000))
   await waitFor(() => seen.text.length > 100_000, 'the answer')
-  await waitFor(() => held.memory.heldBytes === 0, 'the bytes given back once read')
+  await waitFor(() => held.memory.heldBytes === 0, 'the release of the bytes that were read')
   next.destroy()
   held.server.close()
 })
 
-// A caller that keeps sending on an open connection would hold the stop up until it is ended by force, with
-// requests at targets. What is sent after the time to accept isn't read: the caller sends it elsewhere.
-test('after the time to accept, nothing more is read from an open connection', async () => {
+// A caller that keeps sending on an open connection would delay the stop until the process is killed while its requests are
+// running. Requests that arrive after the server was closed are not handled: the caller sends them to another host.
+test('after the server was closed, no further request on an open connection is handled', async () => {
   const { held, socket } = await start()
   const seen = read(socket)
   socket.write(makeGet('/1'))
@@ -108,23 +108,23 @@
   assert.match(seen.text, /Connection: close[^]*answer to \/1;$/)
 })
 
-// A caller has three requests out on one connection and leaves. Only the first answer heard of it: the others' requests
-// went on to targets for nobody, and counted as unanswered for as long as the host lived, so that a planned stop waited
-// for them until the process was ended by force.
-test('a caller that leaves takes back every request of its connection', async () => {
+// A caller disconnects with three requests pending on one connection. Only the first response noticed it: the other requests
+// were sent to targets although nobody waited, and counted as unanswered for the rest of the process, so that a planned stop
+// waited for them until the process was killed.
+test('when a caller disconnects, every request of its connection is aborted', async () => {
   const { held, socket } = await start()
   socket.write(makeGet('/1') + makeGet('/2') + makeGet('/3'))
   await waitFor(() => held.paths.length === 3, 'the requests')
   assert.is(held.server.countUnanswered(), 3)
   socket.destroy()
-  await waitFor(() => held.left.length === 3, 'word to each request that its caller left')
+  await waitFor(() => held.left.length === 3, 'the abort of each request')
   assert.is(held.server.countUnanswered(), 0)
   held.server.close()
 })
 
-// A caller's connection waited long to be accepted. Its request and its leaving are read one right after the other; the
-// request must not be worked on.
-test('a request whose caller left before it was read is not handled', async () => {
+// A caller's connection waited long to be accepted. Its request and its disconnection are read right after one another; the
+// request must not be handled.
+test('a request whose caller disconnected before it was read is not handled', async () => {
   const held = new HeldServer()
   const port = await held.server.listen('127.0.0.1', 0)
   const socket = connect(port, '127.0.0.1')
@@ -135,10 +135,10 @@
   held.server.close()
 })
 
-// A caller downloads a large report while its host makes a planned stop, and the connection ends in the middle of it. The
-// answer was complete here but not yet sent when the host stopped accepting; the runtime's own close takes such a
-// connection for idle and destroys it with what it hasn't sent.
-test('a large answer that is still being sent when the host stops accepting arrives whole', async () => {
+// A caller downloads a large answer while its host makes a planned stop, and the connection ended in the middle of it. The answer
+// had been written but not yet sent in full when the server was closed; Node's own `Server.close` treats such a
+// connection as idle and destroys it together with the unsent data.
+test('a large answer that is still being sent when the server is closed arrives in full', async () => {
   const { held, socket } = await start()
   socket.pause()
   socket.write(makeGet('/1'))
@@ -151,13 +151,13 @@
   const seen = read(socket)
   socket.resume()
   await waitFor(() => seen.text.length >= LARGE_ANSWER_BYTES || seen.isEnded, 'the answer')
-  assert.ok(seen.text.length > LARGE_ANSWER_BYTES, `only ${seen.text.length} bytes came`)
+  assert.ok(seen.text.length > LARGE_ANSWER_BYTES, `received only ${seen.text.length} bytes`)
   socket.destroy()
 })
 
-// A caller's request has come in part when its host stops accepting. Cut off, the caller would have to send it again; left
-// unread, it would wait until the process is ended by force.
-test('a request that has come in part when the host stops accepting is answered, an idle connection ends', async () => {
+// A caller's request has been received in part when the server is closed. If its connection were closed, the caller would have to
+// send the request again; if the rest were not read, the caller would wait until the process is killed.
+test('when the server is closed, a partially received request is answered and an idle connection is closed', async () => {
   const { held, socket } = await start()
   const seen = read(socket)
   const idle = connect(held.port, '127.0.0.1')
@@ -175,7 +175,7 @@
   assert.match(seen.text, /Connection: close[^]*answer to \/1;$/)
 })
 
-test('while it serves, a connection is kept for the next request', async () => {
+test('before a planned stop, a connection is kept open for the next request', async () => {
   const { held, socket } = await start()
   const seen = read(socket)
   socket.write(makeGet('/1'))
--- a/packages/almondrelay-gateway/src/connection/__tests__/targetConnection.test.ts
+++ b/packages/almondrelay-gateway/src/connection/__tests__/targetConnection.test.ts
@@ -27,9 +27,9 @@
 })
 test.after.each(() => { owner.abort() })
 
-// A target sends the answer to one request a second time, late, at the point where the next request's
-// answer is due. Passed on, a caller reads another caller's balance.
-test('an answer that comes twice never reaches the next request', async () => {
+// A target sends the answer to a request a second time, when the answer to the next request is due. If it were passed on, a
+// caller would read another caller's balance.
+test('an answer that is sent twice is never passed to the next request', async () => {
   const port = await startScriptedTarget((socket, request) => {
     socket.write(request === 1 ? ANSWER_TO_FIRST : ANSWER_TO_FIRST + ANSWER_TO_SECOND)
   }, owner.signal)
@@ -41,9 +41,9 @@
   assert.is(second.kind === 'answered' && second.body.toString(), 'second')
 })
 
-// Fifty callers download 16 MB each at once. Read whole without a bound, the answers took more memory than the process may
-// have, and it was killed with every request that it had.
-test('an answer that there is no room for is given up, and its bytes are free again', async () => {
+// Fifty callers download 16 MB each at once. Buffered without a bound, the answers took more memory than the process may use,
+// and it was killed with all of its requests.
+test('an answer that exceeds the memory bound is dropped, and its bytes are released', async () => {
   memory = new BodyMemory(2)
   const port = await startScriptedTarget((socket) => { socket.write(ANSWER_TO_FIRST.slice(0, -2)) }, owner.signal)
   const result = await (await open(port)).exchange(makeRequest(), codec.encodeHead(makeRequest(), 't', 100))
@@ -51,7 +51,7 @@
   assert.is(memory.heldBytes, 0)
 })
 
-test('an answer that has come in part counts until its connection ends', async () => {
+test('a partially received answer counts until its connection ends', async () => {
   const port = await startScriptedTarget((socket) => { socket.write(ANSWER_TO_FIRST.slice(0, -2)) }, owner.signal)
   const connection = await open(port)
   const result = connection.exchange(makeRequest(), codec.encodeHead(makeRequest(), 't', 100))
@@ -62,15 +62,15 @@
   assert.is(memory.heldBytes, 0)
 })
 
-test('an answer that is cut short is no answer', async () => {
+test('a truncated answer counts as broken', async () => {
   const port = await startScriptedTarget((socket) => { socket.end(ANSWER_TO_FIRST.slice(0, -2)) }, owner.signal)
   const result = await (await open(port)).exchange(makeRequest(), codec.encodeHead(makeRequest(), 't', 100))
   assert.is(result.kind, 'broken')
 })
 
-// A target breaks off an answer that states no length, by a reset. The bytes and the reset arrive together and
-// the runtime reports an ordinary end: a caller takes half a calendar for all of it.
-test('an answer without a length is whole at the end of its connection, and not after a reset', async () => {
+// A target breaks off an answer without a length by a reset. The bytes and the reset arrive together, and Node reports an
+// ordinary end of the stream: the caller would take the truncated answer for a complete one.
+test('an answer without a length is complete at the end of its connection, but not after a reset', async () => {
   const answer = 'HTTP/1.1 200 OK\r\nid: r1\r\nsigned: yes\r\nconnection: close\r\n\r\nall of it'
   const whole = await startScriptedTarget((socket) => { socket.end(answer) }, owner.signal)
   const cut = await startScriptedTarget((socket) => { socket.write(answer, () => { resetSocket(socket) }) }, owner.signal)
@@ -80,7 +80,7 @@
   assert.is(cutResult.kind, 'broken')
 })
 
-test('bytes that are no answer end the connection', async () => {
+test('bytes that are not a valid answer close the connection', async () => {
   const port = await startScriptedTarget((socket) => { socket.write('#!/nonsense\r\n\r\n') }, owner.signal)
   const connection = await open(port)
   const result = await connection.exchange(makeRequest(), codec.encodeHead(makeRequest(), 't', 100))
@@ -88,7 +88,7 @@
   assert.ok(connection.isClosed)
 })
 
-test('a connection that its target is about to close is not used again', async () => {
+test('a connection that its target is about to close is not reused', async () => {
   const port = await startScriptedTarget((socket) => { socket.write(ANSWER_TO_FIRST.replace('10000', '1000')) }, owner.signal)
   const connection = await open(port)
   await connection.exchange(makeRequest(), codec.encodeHead(makeRequest(), 't', 100))
@@ -96,15 +96,15 @@
   assert.not(connection.isUsable(900))
 })
 
-test('a port without a listener gives no connection', async () => {
+test('a connection to a port without a listener fails as refused', async () => {
   const port = await startScriptedTarget(() => undefined, owner.signal)
   owner.abort()
   await new Promise((resolve) => { setImmediate(resolve) })
   assert.equal(await TargetConnection.open('127.0.0.1', port, 1_000, { codec, getNow: () => 0, memory }, () => undefined), { kind: 'failed', failure: ConnectFailure.refused })
 })
 
-// Guards against one answer that ends the process, and with it every request that the host has.
-test('an answer at which reading it throws is the loss of its request alone', async () => {
+// Guards against an answer that ends the process, and with it all requests of the host.
+test('an answer whose decoding throws fails its own request alone', async () => {
   const port = await startScriptedTarget((socket) => { socket.write(ANSWER_TO_FIRST) }, owner.signal)
   const failing = new PlainCodec()
   failing.decodeAnswerHead = () => { throw new Error('not to be dealt with') }
--- a/packages/almondrelay-gateway/src/connection/__tests__/targetPool.test.ts
+++ b/packages/almondrelay-gateway/src/connection/__tests__/targetPool.test.ts
@@ -24,9 +24,9 @@
 test.before.each(() => { owner = new AbortController() })
 test.after.each(() => { owner.abort() })
 
-// A target is started again while a caller waits for its answer. The process that had the request is gone; without a word
-// the caller would wait until its time has passed, though another target could answer.
-test('requests at a life that has ended are broken at once', async () => {
+// A target restarts while a caller waits for its answer. The process that was running the request has exited; without an error
+// the caller would wait until its deadline, although another target could answer.
+test('requests to an incarnation that has exited fail as broken at once', async () => {
   const port = await startScriptedTarget(() => undefined, owner.signal)
   const { pool, connection } = await open(port)
   const waiting = connection.exchange(makeRequest(), codec.encodeHead(makeRequest(), 't', 100))
@@ -35,9 +35,9 @@
   assert.equal(await pool.acquire(makeTarget({ port }).entry, 1_000), { kind: 'failed', failure: ConnectFailure.targetLeft })
 })
 
-// A target leaves while it works on a request. Its answer is passed on; its connection stayed open for as long as the target
-// kept it, one of the few thousand that a host may have.
-test('a connection that is busy when its target leaves ends with its answer', async () => {
+// A target leaves while it is running a request. Its answer is passed on, but its connection stayed open for as long as the target
+// kept it, and used up one of the few thousand connections that a host may have.
+test('a connection that is busy when its target leaves closes after the answer', async () => {
   let finish = (): void => undefined
   const port = await startScriptedTarget((socket) => { finish = () => { socket.write(ANSWER) } }, owner.signal)
   const { pool, connection } = await open(port)
--- a/packages/almondrelay-gateway/src/connection/__tests__/turnQueue.test.ts
+++ b/packages/almondrelay-gateway/src/connection/__tests__/turnQueue.test.ts
@@ -5,7 +5,7 @@
 const test = suite('TurnQueue')
 const waitTurn = (): Promise<void> => new Promise((resolve) => { setImmediate(resolve) })
 
-/** A queue on a clock that only its requests move, a millisecond each. */
+/** Queue whose clock is advanced only by its requests, a millisecond each. */
 class CountedQueue {
   now = 0
   readonly done: number[] = []
@@ -20,7 +20,7 @@
     }
   }
 
-  /** Requests carried out in each turn of the event loop until none waits; `beginTurn` is called before each. */
+  /** Counts the requests that run in each turn of the event loop until none waits; `beginTurn` is called before each turn. */
   async countByTurn (beginTurn: () => void = () => undefined): Promise<number[]> {
     const turns: number[] = []
     while (this.done.length < this.pushed) {
@@ -33,9 +33,9 @@
   }
 }
 
-// All hosts have been restarted, and every caller connects again while those that are connected send. The runtime accepts
-// one connection a turn of its loop; with all requests in one turn callers waited two seconds for their connections
-// to be accepted, and left.
+// All hosts have restarted, and every caller connects again while those already connected send requests. Node accepts one
+// connection per turn of the event loop; with all requests in one turn, callers waited two seconds for their connections to be
+// accepted, and gave up.
 test('requests that are ready at once are spread over turns of the event loop', async () => {
   const counted = new CountedQueue(20)
   const turns = await counted.countByTurn()
@@ -43,14 +43,14 @@
   assert.ok(turns.every((count) => count <= 4), turns.join())
 })
 
-test('while connections come in, each turn carries out one request', async () => {
+test('while connections arrive, each turn runs one request', async () => {
   const counted = new CountedQueue(6)
   assert.equal(await counted.countByTurn(() => { counted.queue.observeAccept() }), [1, 1, 1, 1, 1, 1])
 })
 
-// More callers connect than are accepted, one a turn, and wait unseen. The only sign of them is that no turn passes
-// without a connection.
-test('connections in every turn show that more of them wait; one turn without ends it', async () => {
+// More callers connect than are accepted, which is one per turn. The others wait in the backlog, where the process can't see
+// them: the only sign is that every turn accepts a connection.
+test('a connection accepted in every turn counts as a delay, until a turn accepts none', async () => {
   const counted = new CountedQueue(0)
   for (let turn = 0; turn < 5; turn += 1) {
     counted.queue.observeAccept()
@@ -63,9 +63,9 @@
   assert.is(counted.queue.computeAcceptDelay(counted.now), 0)
 })
 
-// All hosts were restarted, and callers connect for two seconds at just the rate at which they are accepted. Each waits
-// for a moment; the host that counts how long this goes on takes itself for two seconds late and refuses almost everybody.
-test('connections in every turn for long wait no longer than the queue of the port takes', async () => {
+// All hosts have restarted, and callers connect for two seconds at exactly the rate at which they are accepted, so that each one
+// waits only briefly. A host that took the length of this period for the delay would refuse almost all requests.
+test('the delay is bounded by the time that a full backlog takes, however long connections arrive in every turn', async () => {
   const counted = new CountedQueue(0)
   for (let turn = 0; turn < 1_000; turn += 1) {
     counted.queue.observeAccept()
@@ -75,9 +75,9 @@
   assert.is(counted.queue.computeAcceptDelay(counted.now), 256)
 })
 
-// A caller waited long for its connection to be accepted, sent its request meanwhile, and left. Both are there to be read,
-// the leaving a turn after the request.
-test('the first request of a connection waits one turn more', async () => {
+// A caller waited long for its connection to be accepted, sent its request in the meantime, and disconnected. Both are ready to
+// be read, the disconnection one turn after the request.
+test('the first request of a connection waits one additional turn', async () => {
   const counted = new CountedQueue(0)
   counted.queue.push(() => { counted.done.push(1) }, true)
   await waitTurn()
@@ -86,7 +86,7 @@
   assert.equal(counted.done, [1])
 })
 
-test('a lone request waits for no further turn, and the longest wait is told', async () => {
+test('a single request runs in the next turn, and its wait is reported until then', async () => {
   const counted = new CountedQueue(1)
   counted.now = 30
   assert.is(counted.queue.computeDelay(counted.now), 30)
--- a/packages/almondrelay-gateway/src/connection/answerReader.ts
+++ b/packages/almondrelay-gateway/src/connection/answerReader.ts
@@ -3,9 +3,9 @@
 import type { BodyMemory } from './bodyMemory.js'
 import type { TargetCodec } from './targetCodec.js'
 
-/** Bytes of one answer at most; a longer one is given up, so that one target can't fill the memory of the host. */
+/** Maximum size of an answer in bytes; a longer one is dropped, so that a single target can't exhaust the host's memory. */
 const MAX_ANSWER_BYTES = 16 * 1024 * 1024
-/** Statuses below are interim: the final answer follows. */
+/** First status of a final answer: lower ones are interim, and the final answer follows. */
 const FIRST_FINAL_STATUS = 200
 
 interface WholeAnswer {
@@ -13,14 +13,14 @@
   body: Buffer
 }
 
-/** Reads answers one after the other from the bytes of a connection. */
+/** Parses successive HTTP answers from the bytes of a connection to a target. */
 export class AnswerReader {
   private readonly parser = new HTTPParser(HTTPParser.RESPONSE)
   private head: TargetAnswerHead | undefined
   private chunks: Buffer[] = []
   private bytes = 0
   private hasRoom = true
-  /** The request that is out has no answer body (HEAD). */
+  /** Whether the answer to the pending request has no body, as for HEAD. */
   isBodiless = false
 
   constructor (codec: TargetCodec, private readonly memory: BodyMemory, private readonly handleAnswer: (answer: WholeAnswer) => void) {
@@ -37,12 +37,12 @@
     this.parser[HTTPParser.kOnMessageComplete] = () => { this.finishAnswer() }
   }
 
-  /** Takes in bytes; false where they are no answer, or one that there is no room for. */
+  /** Parses received bytes; returns false if they are not a valid answer, or if the answer exceeds a size or memory bound. */
   acceptBytes (bytes: Buffer): boolean {
     return typeof this.parser.execute(bytes) === 'number' && this.bytes <= MAX_ANSWER_BYTES && this.hasRoom
   }
 
-  /** Drops an answer that has come in part. */
+  /** Drops a partially received answer. */
   drop (): void {
     this.memory.release(this.bytes)
     this.chunks = []
@@ -50,7 +50,7 @@
     this.hasRoom = true
   }
 
-  /** The target ended the connection: an answer without a length is whole now, any other is cut short. */
+  /** Handles the end of the connection: it completes an answer without a length and truncates any other one. */
   finishStream (): void {
     this.parser.finish()
   }
--- a/packages/almondrelay-gateway/src/connection/bodyMemory.ts
+++ b/packages/almondrelay-gateway/src/connection/bodyMemory.ts
@@ -1,19 +1,19 @@
-/** Part of the bound from which on no new request is taken, so that answers that are on their way still fit. */
+/** Share of the bound above which new requests are refused, so that answers that are still being received fit. */
 const FILLING_PART = 0.5
 
 /**
  * Bytes of answers that this process holds, from their first byte until their caller has them.
  *
- * Guards against many large answers at once: each is read whole, so that a broken one can be asked for again, and a process that
+ * Guards against many large answers at once: each is read whole, so that a broken one can be retried, and a process that
  * takes too much memory is killed with every request that it has. From half of the bound on new requests are refused
- * before they run; an answer that would pass the bound is given up.
+ * before they run; an answer that would exceed the bound is dropped.
  */
 export class BodyMemory {
   private held = 0
 
   constructor (private readonly mostBytes: number) {}
 
-  /** Takes bytes in; false where they pass the bound. They count until they are given back in any case. */
+  /** Counts bytes; returns false if the sum exceeds the bound. In either case they count until they are released. */
   hold (bytes: number): boolean {
     this.held += bytes
     return this.held <= this.mostBytes
@@ -27,7 +27,7 @@
     return this.held
   }
 
-  /** So much is held that new requests are refused. */
+  /** Whether so many bytes are held that new requests are refused. */
   get isFilling (): boolean {
     return this.held > this.mostBytes * FILLING_PART
   }
--- a/packages/almondrelay-gateway/src/connection/bodyReadResult.ts
+++ b/packages/almondrelay-gateway/src/connection/bodyReadResult.ts
@@ -1,6 +1,6 @@
-/** What came of reading a request's body. */
+/** Result of reading the body of a request. */
 export type BodyReadResult =
   | { kind: 'whole', body: Buffer }
   | { kind: 'too-long' }
-  /** The caller left before the end. */
+  /** The caller closed the connection before the end of the body. */
   | { kind: 'cut-short' }
--- a/packages/almondrelay-gateway/src/connection/callerAnswer.ts
+++ b/packages/almondrelay-gateway/src/connection/callerAnswer.ts
@@ -1,7 +1,7 @@
-/** An answer as it goes out to a caller. */
+/** Encoded answer to a caller. */
 export interface CallerAnswer {
   status: number
-  /** Names and values in turn. */
+  /** Header names and values, alternating. */
   headers: string[]
   body: Buffer
 }
--- a/packages/almondrelay-gateway/src/connection/callerHead.ts
+++ b/packages/almondrelay-gateway/src/connection/callerHead.ts
@@ -1,10 +1,10 @@
-/** What the head of a caller's request says besides method, path and headers. */
+/** Fields decoded from the head of a caller's request, besides method, path and headers. */
 export interface CallerHead {
-  /** Undefined where the caller sent none. */
+  /** Id of the request; undefined if the caller sent none. */
   id: string | undefined
-  /** What the caller identifies itself by; undefined where it sent nothing, or nothing usable. Not to be logged. */
+  /** Key by which the caller identifies its organisation; undefined if it sent none, or none that is usable. Must not be logged. */
   organisationKey: string | undefined
   affinityKey: string | undefined
-  /** Milliseconds that the caller waits; undefined where it doesn't say. */
+  /** Milliseconds that the caller waits for the answer; undefined if it does not say. */
   waitsMs: number | undefined
 }
--- a/packages/almondrelay-gateway/src/connection/callerServer.ts
+++ b/packages/almondrelay-gateway/src/connection/callerServer.ts
@@ -3,34 +3,34 @@
 import type { RequestLimits } from '../version/requestLimits.js'
 import type { BodyMemory } from './bodyMemory.js'
 import type { CallerAnswer } from './callerAnswer.js'
-import { MOST_UNACCEPTED } from './mostUnaccepted.js'
+import { MOST_UNACCEPTED } from './listenBacklog.js'
 import type { TurnQueue } from './turnQueue.js'
 
-/** Milliseconds between checks for callers that are too slow with their heads. */
+/** Milliseconds between checks for connections whose request heads have not arrived in time. */
 const CHECK_INTERVAL_MS = 1_000
-/** Milliseconds that a connection is kept beyond the stated limit: a caller's last request and our close may cross. */
+/** Milliseconds for which a connection is kept open beyond the configured limit: a caller's request may cross with the close. */
 const IDLE_MARGIN_MS = 1_000
-/** Bytes of a body from which on it is counted: smaller ones fit into what the kernel buffers for a connection. */
+/** Size of an answer body, in bytes, from which it is counted: smaller ones fit into the kernel's buffer of a connection. */
 const LEAST_COUNTED_BYTES = 16 * 1024
-/** Milliseconds in which a caller must have read its answer: longer than any waits for one, twice over. */
+/** Milliseconds within which a caller must have read its answer: twice as long as any caller waits for one. */
 const SLOWEST_READ_MS = 30_000
-/** Milliseconds that a whole request may take to arrive. */
+/** Milliseconds within which a whole request must arrive. */
 const REQUEST_TIMEOUT_MS = 60_000
 
 /**
- * Carries one request through; undefined where the caller gets no answer. The signal aborts when the caller leaves;
- * `arrivedAt` is when its head was read, in monotonic milliseconds.
+ * Handles one request; resolves with undefined if the caller gets no answer. The signal aborts when the caller disconnects;
+ * `arrivedAt` is when the head of the request was read, in monotonic milliseconds.
  */
 type HandleRequest = (message: IncomingMessage, left: AbortSignal, arrivedAt: number) => Promise<CallerAnswer | undefined>
 
 interface ConnectionState {
-  /** Answer to the request that was read last; answers go out in the order of their requests. */
+  /** Response to the request that was read last; responses are sent in the order of their requests. */
   last: ServerResponse | undefined
-  /** Nothing more is read: the answer to the last request ends the connection. */
+  /** No further requests are handled: the connection ends after the answer to the last one. */
   isClosing: boolean
-  /** Requests that were read and have no whole answer yet; aborted when the caller leaves. */
+  /** Requests that were read and whose answers have not been sent in full; aborted when the caller disconnects. */
   unanswered: Set<AbortController>
-  /** Bytes that had been read when the last answer was sent; more of them are the beginning of a request. */
+  /** Bytes read on the connection when the last answer was sent; any beyond them are the beginning of another request. */
   bytesAnswered: number
 }
 
@@ -42,7 +42,7 @@
   arrivedAt: number
 }
 
-/** The port on which callers' requests arrive. */
+/** HTTP server for callers' requests. */
 export class CallerServer {
   private readonly server: Server
   private isLeaving = false
@@ -57,7 +57,7 @@
     this.server.on('request', (message, response) => { this.accept(message, response) })
   }
 
-  /** Opens the port, or a free one for 0, and returns it. */
+  /** Starts listening on a port, or on a free one if it is 0, and resolves with the port. */
   listen (ip: string, port: number): Promise<number> {
     return new Promise((resolve, reject) => {
       this.server.once('error', reject)
@@ -70,28 +70,28 @@
     })
   }
 
-  /** Puts the operators' limits in force for requests from now on. */
+  /** Applies the operators' limits to requests from now on. */
   setLimits (limits: RequestLimits): void {
     this.server.keepAliveTimeout = limits.idleTimeoutMs + IDLE_MARGIN_MS
     this.server.headersTimeout = limits.headerTimeoutMs + IDLE_MARGIN_MS
   }
 
-  /** Requests that were read and have no whole answer yet. */
+  /** Returns the number of requests that were read and whose answers have not been sent in full. */
   countUnanswered (): number {
     return [...this.connections.values()].reduce((sum, { unanswered }) => sum + unanswered.size, 0)
   }
 
-  /** Each answer from now on ends its connection, so that callers go elsewhere. */
+  /** Makes each answer from now on close its connection, so that callers connect to other hosts. */
   leave (): void {
     this.isLeaving = true
   }
 
   /**
-   * Takes no new connections, reads no further request from the others and ends those without one. A request that has
-   * come in part is read to its end and answered.
+   * Stops accepting connections, closes idle ones, and handles no further requests on the others. A request of which a part has
+   * been received is read to its end and answered.
    *
-   * The runtime's own close takes a connection for idle as soon as its answer is complete here, and destroys it: a caller
-   * that was still receiving a large answer got it cut off. A connection ends here only once all of it was sent.
+   * Node's own `Server.close` treats a connection as idle as soon as its answer has been written, and destroys it: a caller that was
+   * still receiving a large answer got it truncated. Here a connection ends only after all data has been sent.
    */
   close (): void {
     for (const [socket, connection] of this.connections) {
@@ -105,7 +105,7 @@
   private accept (message: IncomingMessage, response: ServerResponse): void {
     if (message.socket.destroyed) return
     const connection = this.findConnection(message.socket)
-    // The caller takes what it sent behind the last answer for unread and sends it again: passed on, it would run twice.
+    // The caller assumes that requests after the last answer were not read and sends them again: if handled here, they would run twice.
     if (connection.isClosing) return
     const left = new AbortController()
     const isFirst = connection.last === undefined
@@ -121,11 +121,11 @@
   }
 
   private async serve ({ message, response, connection, left, arrivedAt }: AcceptedRequest): Promise<void> {
-    // A caller that left while its request waited for its turn: worked on, it would take the place of one that waits.
+    // The caller disconnected while its request was queued: handling it would only delay requests whose callers still wait.
     if (left.aborted) return
     const answer = await this.handleRequest(message, left, arrivedAt)
     if (answer === undefined || response.destroyed) return
-    // Of two requests on one connection the second may be answered first: a close after the first one's answer would cut the second one's off.
+    // Of two requests on a connection the second may be answered first: closing after the first one's answer would cut off the second's.
     const isLast = this.isLeaving && connection.last === response
     if (isLast) connection.isClosing = true
     response.writeHead(answer.status, isLast ? [...answer.headers, 'Connection', 'close'] : answer.headers)
@@ -133,7 +133,7 @@
     response.end(answer.body)
   }
 
-  /** Counts the body until its caller has it. One that stops reading would hold it, and the room of others, for ever. */
+  /** Counts the body until the caller has received it. A caller that stops reading would otherwise hold the memory for ever. */
   private holdUntilRead (response: ServerResponse, bytes: number): void {
     if (bytes < LEAST_COUNTED_BYTES) return
     this.memory.hold(bytes)
@@ -149,8 +149,8 @@
     if (known !== undefined) return known
     const state = { last: undefined, isClosing: false, unanswered: new Set<AbortController>(), bytesAnswered: 0 }
     this.connections.set(socket, state)
-    // The end of the connection and not that of each answer: an answer that waits for the one before it, on a connection
-    // with several requests out, is never told of its caller's leaving, and its request would go on for nobody.
+    // Listens on the socket and not on each response: a response that is queued behind another one on a connection with several
+    // pending requests gets no event when the caller disconnects, and its request would go on although nobody waits for it.
     const abortAll = (): void => { for (const left of state.unanswered) left.abort() }
     socket.once('end', abortAll)
     socket.once('close', () => {
--- a/packages/almondrelay-gateway/src/connection/connectResult.ts
+++ b/packages/almondrelay-gateway/src/connection/connectResult.ts
@@ -1,7 +1,7 @@
 import type { ConnectFailure } from './connectFailure.js'
 import type { TargetConnection } from './targetConnection.js'
 
-/** What came of opening a connection to a target. */
+/** Result of opening a connection to a target. */
 export type ConnectResult =
   | { kind: 'connected', connection: TargetConnection }
   | { kind: 'failed', failure: ConnectFailure }
--- a/packages/almondrelay-gateway/src/connection/connectionParts.ts
+++ b/packages/almondrelay-gateway/src/connection/connectionParts.ts
@@ -1,7 +1,7 @@
 import type { BodyMemory } from './bodyMemory.js'
 import type { TargetCodec } from './targetCodec.js'
 
-/** What all connections to targets share. */
+/** Dependencies shared by all connections to targets. */
 export interface ConnectionParts {
   codec: TargetCodec
   /** Monotonic milliseconds. */
--- a/packages/almondrelay-gateway/src/connection/listenForGet.ts
+++ b/packages/almondrelay-gateway/src/connection/listenForGet.ts
@@ -1,7 +1,7 @@
 import { createServer, type Server } from 'node:http'
 import type { PlainAnswer } from './plainAnswer.js'
 
-/** A small server for questions without a body: readiness, look-ups, metrics. */
+/** Starts an HTTP server for GET requests: readiness, look-ups and metrics. */
 export function listenForGet (ip: string, port: number, answerGet: (path: string, query: URLSearchParams) => Promise<PlainAnswer>, logError: (error: Error) => void): Promise<Server> {
   const server = createServer((message, response) => {
     const url = new URL(message.url ?? '/', 'http://host')
--- a/packages/almondrelay-gateway/src/connection/plainAnswer.ts
+++ b/packages/almondrelay-gateway/src/connection/plainAnswer.ts
@@ -1,4 +1,4 @@
-/** An answer to a question without a body. */
+/** Answer to a GET request for readiness, a look-up or metrics. */
 export interface PlainAnswer {
   status: number
   type: string
--- a/packages/almondrelay-gateway/src/connection/readBody.ts
+++ b/packages/almondrelay-gateway/src/connection/readBody.ts
@@ -1,7 +1,7 @@
 import type { IncomingMessage } from 'node:http'
 import type { BodyReadResult } from './bodyReadResult.js'
 
-/** Reads the body of a request into memory: a repeat at another target needs it whole. */
+/** Reads the whole body of a request into memory, as a retry at another target needs it again. */
 export function readBody (message: IncomingMessage, maxBytes: number): Promise<BodyReadResult> {
   return new Promise((resolve) => {
     const chunks: Buffer[] = []
--- a/packages/almondrelay-gateway/src/connection/targetCodec.ts
+++ b/packages/almondrelay-gateway/src/connection/targetCodec.ts
@@ -1,13 +1,13 @@
 import type { CallerRequest } from '../request/callerRequest.js'
 import type { TargetAnswerHead } from '../request/targetAnswerHead.js'
 
-/** How requests and answers are written on a connection to a target. */
+/** Encodes requests to targets and decodes their answers. */
 export abstract class TargetCodec {
   /**
-   * The head of a request, with the empty line that ends it.
+   * Encodes the head of a request, including the empty line that ends it.
    *
-   * @param targetId the start of the target that may run it; any other must refuse
-   * @param leftMs milliseconds that the target may spend
+   * @param targetId identifies the target that may run the request; any other target must refuse it
+   * @param leftMs milliseconds that the target may spend on the request
    */
   abstract encodeHead (request: CallerRequest, targetId: string, leftMs: number): string
 
--- a/packages/almondrelay-gateway/src/connection/targetConnection.ts
+++ b/packages/almondrelay-gateway/src/connection/targetConnection.ts
@@ -7,9 +7,9 @@
 import type { ConnectResult } from './connectResult.js'
 import type { ConnectionParts } from './connectionParts.js'
 
-/** Unused time, in milliseconds, after which a connection of a target that states no limit isn't trusted any more. */
+/** Milliseconds for which an idle connection is reused if the target states no keep-alive timeout. */
 const UNSTATED_IDLE_MS = 500
-/** Milliseconds taken off a target's stated limit: its close and our next request may cross on the way. */
+/** Milliseconds subtracted from a target's keep-alive timeout: the target's close and the next request may cross on the network. */
 const IDLE_MARGIN_MS = 750
 
 interface Pending {
@@ -17,14 +17,14 @@
   finish: (result: AttemptResult) => void
 }
 
-/** One connection to a target, with at most one request out. */
+/** Connection to a target, with at most one pending request. */
 export class TargetConnection {
   private pending: Pending | undefined
   private readonly reader: AnswerReader
   private isOpen = false
   private isDone = false
   private isTaken = false
-  /** Why the connection is to end with its next answer; undefined while it is to be used again. */
+  /** Why the connection closes after its next answer; undefined while it may be reused. */
   private closeReason: string | undefined
   private unusableAt = Infinity
 
@@ -37,7 +37,7 @@
     socket.on('close', () => { this.close('closed') })
   }
 
-  /** Resolves once the connection stands, or with the reason why it isn't to be had in time. */
+  /** Resolves once the connection is open, or with the reason why it could not be opened in time. */
   static async open (ip: string, port: number, timeoutMs: number, parts: ConnectionParts, handleClose: () => void): Promise<ConnectResult> {
     const socket = connect({ host: ip, port })
     const connection = new TargetConnection(socket, parts, handleClose)
@@ -54,18 +54,18 @@
     return this.isOpen && !this.isDone && !this.isTaken && now < this.unusableAt && this.socket.writableLength === 0
   }
 
-  /** Holds the connection for one request; two that ask in the same turn of the loop would else share it. */
+  /** Reserves the connection for one request: otherwise two requests in the same turn of the event loop would share it. */
   take (): void {
     this.isTaken = true
   }
 
-  /** Gives the connection back without a request. */
+  /** Returns a reserved connection on which no request was sent. */
   release (): void {
     this.isTaken = false
     if (this.closeReason !== undefined) this.close(this.closeReason)
   }
 
-  /** Ends the connection now, or with the answer that it waits for. */
+  /** Closes the connection now, or after the answer to its pending request. */
   closeWhenFree (reason: string): void {
     if (this.isTaken) this.closeReason = reason
     else this.close(reason)
@@ -79,7 +79,7 @@
     return this.isTaken
   }
 
-  /** Sends a request and waits for its answer. An answer to another request is skipped: its bytes belong to nobody. */
+  /** Sends a request and waits for its answer. An answer to another request is discarded. */
   exchange (request: CallerRequest, head: string): Promise<AttemptResult> {
     if (this.isDone) return Promise.resolve({ kind: 'not-sent', reason: 'connection lost before the request' })
     return new Promise((resolve) => {
@@ -96,7 +96,7 @@
     })
   }
 
-  /** Ends the connection; a request that is out is given up, which makes most targets drop it. */
+  /** Closes the connection and abandons a pending request, which makes most targets abort it. */
   close (reason: string): void {
     if (this.isDone) return
     this.isDone = true
@@ -106,7 +106,7 @@
     this.handleClose()
   }
 
-  // An answer that can't be dealt with is its request's loss, not that of the process with all others.
+  // An answer whose handling throws must fail only its own request, and not end the process with all other requests.
   private readWithin (read: () => void): void {
     try {
       read()
@@ -115,8 +115,8 @@
     }
   }
 
-  // Where the last bytes and a reset arrive together, the runtime reports an ordinary end, and an answer without a
-  // length would count as whole though it was broken off. A connection that was reset has no peer any more.
+  // If the last bytes and a reset arrive together, Node reports an ordinary end of the stream, and a truncated answer without a
+  // length would count as complete. A socket that was reset no longer has a remote address.
   private handleEnd (): void {
     const wasReset = this.socket.remoteAddress === undefined
     if (!wasReset) this.reader.finishStream()
@@ -124,8 +124,8 @@
   }
 
   private handleAnswer (answer: { head: TargetAnswerHead, body: Buffer }): void {
-    // A target may send an answer twice, the second one late: taken for the next request's answer it
-    // would hand one caller another's data. The id that it echoes tells whose it is.
+    // A target may send an answer twice, the second time late. Taken for the answer to the next request, it would give one caller
+    // another caller's data, so the request id that the target echoes is checked.
     if (this.pending === undefined || answer.head.requestId !== this.pending.requestId) return
     const idleMs = answer.head.keepAliveMs === undefined ? UNSTATED_IDLE_MS : answer.head.keepAliveMs - IDLE_MARGIN_MS
     this.unusableAt = this.parts.getNow() + idleMs
--- a/packages/almondrelay-gateway/src/connection/targetPool.ts
+++ b/packages/almondrelay-gateway/src/connection/targetPool.ts
@@ -6,25 +6,25 @@
 
 interface PoolObserver {
   countOpened: () => void
-  /** Milliseconds that a new connection took. */
+  /** Called with the milliseconds that opening a connection took. */
   observeConnect: (durationMs: number) => void
-  /** @param isUnconnected whether no other connection to the target stands */
+  /** @param isUnconnected whether no other connection to the target is open */
   observeFailure: (failure: ConnectFailure, isUnconnected: boolean) => void
 }
 
-/** Connections to one target; a free one is used again, the latest first, so that the others run out by themselves. */
+/** Pool of connections to one target. The newest free connection is reused first, so that surplus ones become idle and expire. */
 export class TargetPool {
   private readonly connections: TargetConnection[] = []
   private isClosed = false
 
   constructor (private readonly parts: ConnectionParts, private readonly observer: PoolObserver) {}
 
-  /** Whether no connection to the target stands. */
+  /** Whether no connection to the target is open. */
   get isUnconnected (): boolean {
     return this.connections.every(({ isClosed }) => isClosed)
   }
 
-  /** A free connection, or a new one, held for one request; a failure where none can be had within the timeout, in milliseconds. */
+  /** Reserves a free or new connection for one request; resolves with a failure if none can be opened within `timeoutMs`. */
   async acquire (entry: TargetEntry, timeoutMs: number): Promise<ConnectResult> {
     if (this.isClosed) return { kind: 'failed', failure: ConnectFailure.targetLeft }
     const free = this.findFree(this.parts.getNow())
@@ -41,7 +41,7 @@
       this.observer.observeFailure(opened.failure, this.isUnconnected)
       return opened
     }
-    // A target that left, or was started again, while the connection was being opened gets nothing through it.
+    // The target left or restarted while the connection was being opened: no request may be sent on it.
     if (this.isClosed) {
       opened.connection.close('target left')
       return { kind: 'failed', failure: ConnectFailure.targetLeft }
@@ -51,7 +51,7 @@
     return opened
   }
 
-  /** Opens one more connection to see whether anybody listens; it is kept for requests to come. */
+  /** Opens another connection to check whether the target is listening, and keeps it for later requests. */
   async probe (entry: TargetEntry, timeoutMs: number): Promise<ConnectResult> {
     if (this.isClosed) return { kind: 'failed', failure: ConnectFailure.targetLeft }
     const opened = await this.open(entry, timeoutMs)
@@ -59,20 +59,20 @@
     return opened
   }
 
-  /** Closes what has been unused for too long. */
+  /** Closes connections that have been idle for too long. */
   closeIdle (now: number): void {
     for (const connection of [...this.connections]) {
       if (!connection.isBusy && !connection.isUsable(now)) connection.close('unused')
     }
   }
 
-  /** Takes no new requests; those that are out go on. */
+  /** Accepts no new requests; pending ones continue. */
   closeWhenFree (): void {
     this.isClosed = true
     for (const connection of [...this.connections]) connection.closeWhenFree('target left')
   }
 
-  /** Ends every connection; requests that are out are given up. */
+  /** Closes all connections and abandons their pending requests. */
   closeAll (reason: string): void {
     this.isClosed = true
     for (const connection of [...this.connections]) connection.close(reason)
--- a/packages/almondrelay-gateway/src/connection/turnQueue.ts
+++ b/packages/almondrelay-gateway/src/connection/turnQueue.ts
@@ -1,11 +1,11 @@
-import { MOST_UNACCEPTED } from './mostUnaccepted.js'
+import { MOST_UNACCEPTED } from './listenBacklog.js'
 
 /**
- * Milliseconds of work on requests in one turn of the event loop, and while connections come in.
+ * Milliseconds of work on requests in one turn of the event loop, and the same while connections arrive.
  *
- * The runtime accepts one connection a turn (measured: 100 that wait take 100 turns). With 20 requests of a millisecond
- * in each turn that is 50 a second, and callers who connect wait for seconds in the queue of the port, though the
- * host answers those that are connected at once. A slice is about five requests, or one while connections come in.
+ * Node accepts one connection per turn (measured: 100 waiting connections take 100 turns). With 20 requests of a millisecond in
+ * each turn, 50 connections are accepted per second: new callers wait for seconds in the backlog of the port, while the host
+ * answers connected ones at once. A slice is about five requests, or one request while connections arrive.
  */
 const SLICE_MS = 4
 const ACCEPTING_SLICE_MS = 1
@@ -16,30 +16,30 @@
 }
 
 /**
- * Lets requests in one after the other, a slice of work in each turn of the event loop.
+ * Runs requests one after the other, a slice of work in each turn of the event loop.
  *
- * Answers many requests that are ready at once, as after a restart of all hosts: what the loop does besides, accepting
- * connections, hearing that a caller left, timers, goes on between the slices instead of after all of them.
+ * When many requests are ready at once, as after a restart of all hosts, the other work of the loop (accepting connections, noticing
+ * that callers disconnected, timers) runs between the slices instead of after all requests.
  */
 export class TurnQueue {
   private readonly waiting: Waiting[] = []
   private turn = 0
   private turnStartedAt = 0
   private hasAccepted = false
-  /** Since when every turn of the loop has accepted a connection; undefined where the last one did not. */
+  /** Since when every turn of the loop has accepted a connection; undefined if the last turn accepted none. */
   private acceptingSince: number | undefined
-  /** Connections accepted since then. */
+  /** Number of connections accepted since `acceptingSince`. */
   private accepted = 0
 
   /** @param getNow monotonic milliseconds */
   constructor (private readonly getNow: () => number) {}
 
   /**
-   * The first request of a connection waits a turn more. Its connection may have waited long to be accepted, or its
-   * opening packet was lost and sent again a second later: a caller that left meanwhile is heard a turn after its request
-   * is, and carried out at once the request would go on to a target for nobody.
+   * Queues a request. The first request of a connection is delayed by one turn: the connection may have waited long to be accepted, or
+   * its SYN packet was lost and sent again a second later. If the caller has disconnected by then, this is noticed one turn after the
+   * request is read; without the delay the request would be sent to a target although nobody waits for the answer.
    *
-   * @param run told when it was queued, in monotonic milliseconds
+   * @param run called with the time at which the request was queued, in monotonic milliseconds
    */
   push (run: (queuedAt: number) => void, isFirst: boolean): void {
     this.waiting.push({ queuedAt: this.getNow(), run })
@@ -47,7 +47,7 @@
     else this.schedule()
   }
 
-  /** Notes that a connection was accepted: more may wait. */
+  /** Records that a connection was accepted: more may be waiting. */
   observeAccept (): void {
     this.hasAccepted = true
     this.accepted += 1
@@ -58,10 +58,12 @@
   }
 
   /**
-   * For how long a connection waits to be accepted at most, in milliseconds. As long as every turn accepts one, more come in
-   * than are accepted and they wait unseen in the queue of the port; the queue is as long as this has gone on, and no
-   * longer than the port's, each place a turn. Without that second bound a host that accepts a connection in each turn for
-   * two seconds took itself for two seconds late, and refused nine of ten whom it could have served.
+   * Estimates the maximum time for which a connection waits to be accepted, in milliseconds.
+   *
+   * While every turn accepts a connection, more may be waiting in the backlog of the port, which this process can't see. The
+   * estimate is the time for which this has lasted, bounded by the time that a full backlog takes at one connection per turn. Without
+   * that bound, a host that accepted a connection in each turn for two seconds assumed a delay of two seconds, and refused
+   * nine out of ten requests that it could have served.
    */
   computeAcceptDelay (now: number): number {
     if (this.acceptingSince === undefined) return 0
@@ -69,7 +71,7 @@
     return Math.min(lastsMs, lastsMs / this.accepted * MOST_UNACCEPTED)
   }
 
-  /** How long the first in the queue has waited, in milliseconds; 0 where none waits. */
+  /** Returns how long the first request in the queue has waited, in milliseconds; 0 if the queue is empty. */
   computeDelay (now: number): number {
     const [first] = this.waiting
     return first === undefined ? 0 : Math.max(0, now - first.queuedAt)
@@ -84,13 +86,13 @@
     setImmediate(() => { this.checkAccepting() })
   }
 
-  // One immediate for each request, so that the runtime carries out what a request has pending before the next one.
+  // One immediate per request, so that Node runs the pending microtasks of a request before the next one.
   private schedule (): void {
     const { turn } = this
     setImmediate(() => { this.runNext(turn) })
   }
 
-  /** @param scheduledIn turn in which this was scheduled; the first one of a turn begins the next */
+  /** @param scheduledIn turn in which this call was scheduled; the first call scheduled in the current turn begins the next one */
   private runNext (scheduledIn: number): void {
     const now = this.getNow()
     if (scheduledIn >= this.turn) {
--- a/packages/almondrelay-gateway/src/process/fleet/__fixtures__/fakeRevisionStore.ts
+++ b/packages/almondrelay-gateway/src/process/fleet/__fixtures__/fakeRevisionStore.ts
@@ -9,27 +9,27 @@
 import type { StoreTransaction } from '../../store/storeTransaction.js'
 import type { WatchResult } from '../../store/watchResult.js'
 
-/** A store in memory, with switches for its faults. */
+/** In-memory store with switches that simulate faults. */
 export class FakeRevisionStore extends RevisionStore {
-  /** Items on one page of a listing. */
+  /** Maximum number of items on a page of a listing. */
   pageItems = Infinity
-  /** Every call fails without having done anything. */
+  /** Every call fails without any effect. */
   isDown = false
-  /** Watches answer with nothing, whatever has changed. */
+  /** Watches answer without events, whatever has changed. */
   isDeaf = false
-  /** Watches never answer: their connection has gone silent. */
+  /** Watches never answer, as on a connection that is silently dead. */
   isHung = false
-  /** Commits are made and their answers are lost. */
+  /** Commits take effect and their answers are lost. */
   losesAnswers = false
-  /** Next calls to release a lease that are lost on their way. */
+  /** Number of next calls to release a lease that are lost before they take effect. */
   lostReleases = 0
-  /** Calls that failed so far. */
+  /** Number of calls that failed so far. */
   refusals = 0
-  /** Watches that were asked for so far. */
+  /** Number of watch calls so far. */
   watches = 0
-  /** What a listing that may be stale answers; undefined for what there is. */
+  /** Page that listings with stale data return; undefined for current data. */
   stalePage: StorePage | undefined
-  /** Pages of listings that were read as of now. */
+  /** Number of pages listed so far that were current. */
   currentPages = 0
   private revision = 1
   private oldestEvent = 0
@@ -59,17 +59,17 @@
     this.events.push({ kind: 'deleted', key, revision: this.revision })
   }
 
-  /** Everything that stands, at once. */
+  /** Returns all items synchronously. */
   listItems (): StoreItem[] {
     return [...this.items.keys()].flatMap((key) => this.findItem(key) ?? [])
   }
 
-  /** Changes under a prefix after a revision, at once. */
+  /** Returns the changes under a prefix after a revision synchronously. */
   listEvents (prefix: string, afterRevision: number): StoreEvent[] {
     return this.events.filter((event) => getEventRevision(event) > afterRevision && getKey(event).startsWith(prefix))
   }
 
-  /** Forgets all changes so far. */
+  /** Drops the history of all changes so far. */
   dropHistory (): void {
     this.oldestEvent = this.revision
     this.events = []
--- a/packages/almondrelay-gateway/src/process/fleet/__fixtures__/followedFleet.ts
+++ b/packages/almondrelay-gateway/src/process/fleet/__fixtures__/followedFleet.ts
@@ -10,26 +10,26 @@
 import { FakeRevisionStore } from './fakeRevisionStore.js'
 import { PlainFleetCodec } from './plainFleetCodec.js'
 
-/** A follower on a store in memory, with a clock that the test moves. */
+/** Follower of an in-memory store, with a clock that the test advances. */
 export class FollowedFleet {
   now = 0
-  /** Others of the region watch the store. */
+  /** Whether the follower may rely on other hosts of the region that watch the store. */
   reliesOnWatchers = false
-  /** Full reads that left keys out. */
+  /** Number of full reads that left out some of the product's own keys. */
   unreadKeys = 0
   readonly store = new FakeRevisionStore()
   readonly health = new StoreHealth()
-  /** Ids of targets that were removed, and of those that were started again. */
+  /** Ids of targets that were removed, and of those that restarted. */
   readonly removed: string[] = []
   readonly restarted: string[] = []
   readonly lines: string[] = []
-  /** Changes that were handed on to the other hosts of the region. */
+  /** Changes that were relayed to the other hosts of the region. */
   readonly relayed: RelayedChanges[] = []
-  /** Fingerprints whose records have gone. */
+  /** Fingerprints of the suspect records that were removed. */
   readonly lapsedSuspects: string[] = []
-  /** Taking in a record of a suspect throws. */
+  /** Whether applying a suspect record throws. */
   failsOnSuspects = false
-  /** The hosts of the region rely on this one's watch. */
+  /** Whether the hosts of the region rely on this host's watch. */
   isReliedOn = false
   readonly fleet = new FleetState({
     targetRemoved: ({ entry }) => { this.removed.push(entry.id) },
@@ -54,14 +54,14 @@
     handleConfiguration: () => undefined,
     handleOwnEntryGone: () => undefined,
     handleDeclared: () => undefined,
-    handleSuspect: () => { if (this.failsOnSuspects) throw new Error('not to be dealt with') },
+    handleSuspect: () => { if (this.failsOnSuspects) throw new Error('simulated failure') },
     handleSuspectGone: (fingerprint) => { this.lapsedSuspects.push(fingerprint) },
     handleUnreadKeys: () => { this.unreadKeys += 1 }
   })
 
   private running: Promise<void> | undefined
 
-  /** A fleet of a configuration and two targets, being followed. */
+  /** Starts following a store that holds a configuration and two targets. */
   static startWithTargets (): FollowedFleet {
     const followed = new FollowedFleet()
     followed.store.write('configuration', { version: 5 })
@@ -71,7 +71,7 @@
     return followed
   }
 
-  /** A fleet not yet followed, of which old pages show target 1, which has left since. */
+  /** Prepares a store, not yet followed, whose stale pages still hold target 1, which has left since. */
   static async prepareOldPages (): Promise<FollowedFleet> {
     const followed = new FollowedFleet()
     followed.store.write('configuration', { version: 5 })
@@ -94,12 +94,12 @@
     this.store.write(`target/${id}`, makeTarget({ id, port: 8_000 + Number(id), ...entry }).entry)
   }
 
-  /** Waits until something holds; rejects after a bound that only a fault reaches. */
+  /** Waits until a condition holds; rejects after a time that is only reached if there is a fault. */
   async waitFor (check: () => boolean, what: string): Promise<void> {
     for (let step = 0; step < 2_000; step += 1) {
       if (check()) return
       await new Promise((resolve) => { setTimeout(resolve, 5) })
     }
-    throw new Error(`never came: ${what}`)
+    throw new Error(`timed out waiting for ${what}`)
   }
 }
--- a/packages/almondrelay-gateway/src/process/fleet/__fixtures__/plainFleetCodec.ts
+++ b/packages/almondrelay-gateway/src/process/fleet/__fixtures__/plainFleetCodec.ts
@@ -6,10 +6,10 @@
 import { FleetCodec } from '../fleetCodec.js'
 import type { HostEntry } from '../hostEntry.js'
 
-/** Services that every configuration of the tests names. */
+/** Services in every configuration of the tests. */
 const SERVICES = ['balances', 'approvals']
 
-/** Keys of the tests' own: `target/ID`, `host/NAME`, `evacuation/ZONE`, `suspect/FINGERPRINT` and `configuration`. */
+/** Fleet codec with simple keys for tests: `target/ID`, `host/NAME`, `evacuation/ZONE`, `suspect/FINGERPRINT` and `configuration`. */
 export class PlainFleetCodec extends FleetCodec {
   override readonly prefixes = ['']
   override readonly productPrefix = 'use/'
--- a/packages/almondrelay-gateway/src/process/fleet/__tests__/fleetFollower.test.ts
+++ b/packages/almondrelay-gateway/src/process/fleet/__tests__/fleetFollower.test.ts
@@ -8,7 +8,7 @@
 test.before.each(() => { followed = FollowedFleet.startWithTargets() })
 test.after.each(() => followed.stop())
 
-test('what stands in the store and what changes in it is known', async () => {
+test('the state reflects the contents of the store and changes to them', async () => {
   const { fleet, store } = followed
   await followed.waitFor(() => fleet.isComplete, 'first read')
   assert.is(fleet.configuration?.version, 5)
@@ -24,9 +24,9 @@
   await followed.waitFor(() => !fleet.isEvacuated('akl-a'), 'end of the evacuation')
 })
 
-// All hosts have been restarted, and callers connect before a host has read anything. Refused, each of them loses its one
-// repeat; a host in another region than the store has read its configuration a fifth of a second later.
-test('what waits for the first configuration goes on with it, and without one when its time has passed', async () => {
+// All hosts have restarted, and callers connect before a host has read the store. If refused, each caller would lose its only
+// retry, although a host in another region than the store has read its configuration a fifth of a second later.
+test('waiting for the first configuration ends with it, or without one after the timeout', async () => {
   const started = new FollowedFleet()
   const waiting = started.fleet.waitForConfiguration(60_000)
   await started.fleet.waitForConfiguration(1)
@@ -36,12 +36,12 @@
   started.start()
   await waiting
   assert.is(started.fleet.configuration?.version, 5)
-  assert.is(started.fleet.listTargetIds().length, 1, 'the targets of the same read are known')
+  assert.is(started.fleet.listTargetIds().length, 1, 'the targets of the same read are in the state')
   await started.stop()
 })
 
-// Operators put version 9 in force; a host that then reads an older one from a store that lags would send
-// callers to where they were before.
+// Operators put version 9 in force. A host that then reads an older version from a lagging store would route requests by the
+// older version again.
 test('a version that is not newer is never put in force', async () => {
   const { fleet, store } = followed
   await followed.waitFor(() => fleet.isComplete, 'first read')
@@ -53,9 +53,9 @@
   assert.is(fleet.configuration?.version, 9)
 })
 
-// Watches hear nothing while a target leaves, then the store drops its history. A host that only watched on
-// would send to the target for ever.
-test('after the history is gone everything is read anew, and what vanished meanwhile is gone', async () => {
+// Watches return no events while a target leaves, then the store drops its history. A host that only continued to watch would
+// send requests to the target for ever.
+test('after the history was dropped all keys are read again, and what is missing from them is removed', async () => {
   const { fleet, store } = followed
   await followed.waitFor(() => fleet.isComplete, 'first read')
   store.isDeaf = true
@@ -68,9 +68,9 @@
   assert.equal(fleet.listTargetIds().sort(), ['2', '3'])
 })
 
-// The store is away for some seconds and the targets' entries lapse in it. Taken for the end of every
-// target, each host would refuse every request until they have written themselves anew.
-test('entries that lapsed while the store was away count until two seconds after its return', async () => {
+// The store is unavailable for some seconds, and the targets' entries expire. If this were taken for the exit of all targets, each
+// host would refuse all requests until the targets have written their entries again.
+test('entries that expired while the store was unavailable count until two seconds after its recovery', async () => {
   const { fleet, store, health } = followed
   await followed.waitFor(() => fleet.isComplete, 'first read')
   health.observeFailure(followed.now)
@@ -92,9 +92,9 @@
   assert.equal(fleet.listTargetIds().sort(), ['2', '3', '4'])
 })
 
-// One host alone is cut off for some seconds; the store and the other targets live on, one target leaves for
-// good. Taken for a lapse, the host sends to the one that left for two seconds more than it may.
-test('a target that left while this host alone was cut off is gone at once', async () => {
+// Only this host loses the store for some seconds, and one target leaves in that time. If this were taken for a lapse of the
+// entries, the host would send requests to that target for two seconds longer than allowed.
+test('a target that left while only this host had lost the store is removed at once', async () => {
   const { fleet, store, health } = followed
   for (const id of ['3', '4', '5']) followed.writeTarget(id)
   await followed.waitFor(() => fleet.listTargetIds().length === 5, 'five targets')
@@ -110,9 +110,9 @@
   assert.is(fleet.findTarget('1'), undefined)
 })
 
-// The connection of a host's watch goes silent for good while a target leaves. Nothing fails; the host would send
-// to the target until the long wait ends. Its peers have seen the change and say so in their reports.
-test('a watch that has gone silent is begun anew once peers know newer changes for a while', async () => {
+// The connection of a host's watch stalls for good while a target leaves. No call fails, and the host would send requests to the
+// target until the watch times out. Its peers have received the change and report its revision.
+test('a stalled watch is restarted once peers have reported newer changes for a while', async () => {
   const { fleet, store, follower } = followed
   await followed.waitFor(() => fleet.isComplete, 'first read')
   store.isHung = true
@@ -127,7 +127,7 @@
   await followed.waitFor(() => fleet.findTarget('1') === undefined, 'end of target 1')
 })
 
-test('with the first answer after a failure a hanging watch is begun anew', async () => {
+test('a hanging watch is restarted at the first answer of the store after a failure', async () => {
   const { fleet, store, health } = followed
   await followed.waitFor(() => fleet.isComplete, 'first read')
   store.isHung = true
@@ -139,7 +139,7 @@
   await followed.waitFor(() => fleet.findTarget('2') === undefined, 'end of target 2')
 })
 
-test('an address that is used again belongs to the newer target alone', async () => {
+test('a reused address belongs only to the newer target', async () => {
   const { fleet, store } = followed
   await followed.waitFor(() => fleet.isComplete, 'first read')
   const entry = fleet.findTarget('1')?.entry
@@ -148,9 +148,9 @@
   assert.is(fleet.findTarget('1'), undefined)
 })
 
-// A target is killed and started again at once under its id, its entry never lapses. Taken for the one before, it would
-// get the rate of a target that holds its keys: it is cold, and falls over again.
-test('a target that was started again under its id holds nothing of before', async () => {
+// A target is killed and restarts at once under the same id, before its entry expires. If it were taken for the previous
+// incarnation, it would get the request rate of a warm target although it is cold, and would collapse again.
+test('a target that restarts under the same id keeps no state of its previous incarnation', async () => {
   const { fleet } = followed
   followed.writeTarget('3', { incarnation: 1_000, sequence: 40 })
   await followed.waitFor(() => fleet.findTarget('3') !== undefined, 'target 3')
@@ -159,9 +159,9 @@
   before?.hearPeerCount('a', 9, 0)
   before?.suspend(0)
   followed.writeTarget('3', { incarnation: 2_000, sequence: 1, coldForMs: 3_000 })
-  await followed.waitFor(() => fleet.findTarget('3') !== before, 'its second life')
+  await followed.waitFor(() => fleet.findTarget('3') !== before, 'its second incarnation')
   const after = fleet.findTarget('3')
-  assert.ok(before?.isLeaving(), 'nothing more goes to the life before')
+  assert.ok(before?.isLeaving(), 'the previous incarnation gets no more requests')
   assert.ok(after?.isCold(0))
   assert.not(after?.warmKeys.has(7))
   assert.is(after?.countOutstanding(0), 0)
@@ -171,9 +171,9 @@
   assert.equal([followed.restarted, followed.removed], [['3'], []])
 })
 
-// A target announces its end and leaves; a heartbeat that it wrote before comes to the store seconds late and stands there
-// as its newest entry. Believed, the target would get work after it had said that it takes none.
-test('an older entry that is written late changes nothing', async () => {
+// A target announces that it is draining and leaves. A heartbeat that it sent before reaches the store seconds late and becomes
+// the entry there. If it were applied, the target would get requests after it had announced that it takes none.
+test('an older entry that is written late is ignored', async () => {
   const { fleet } = followed
   followed.writeTarget('3', { incarnation: 2_000, sequence: 5, draining: true })
   await followed.waitFor(() => fleet.findTarget('3') !== undefined, 'target 3')
@@ -188,22 +188,22 @@
   await followed.waitFor(() => fleet.findTarget('5') !== undefined, 'target 5')
   assert.is(fleet.findTarget('3'), undefined)
   followed.writeTarget('3', { incarnation: 3_000, sequence: 1 })
-  await followed.waitFor(() => fleet.findTarget('3') !== undefined, 'its next life')
+  await followed.waitFor(() => fleet.findTarget('3') !== undefined, 'its next incarnation')
 })
 
-// In a deployment whose targets state no start one is started again under its id. Its heartbeats count from one, like those
-// of an old entry that is written late; its word that it is cold must be heard in any case.
-test('fewer heartbeats of a target that states no start are believed in that it is cold', async () => {
+// In a deployment whose targets state no start time, a target restarts under the same id. Its heartbeats count from one again, like
+// those of an older entry that is written late. If it states that it is cold, this must be applied in either case.
+test('an entry with fewer heartbeats of a target that states no start time still marks it as cold', async () => {
   const { fleet } = followed
   followed.writeTarget('3', { sequence: 40 })
   await followed.waitFor(() => fleet.findTarget('3') !== undefined, 'target 3')
   followed.writeTarget('3', { sequence: 1, coldForMs: 3_000 })
-  await followed.waitFor(() => fleet.findTarget('3')?.isCold(0) === true, 'its being cold')
+  await followed.waitFor(() => fleet.findTarget('3')?.isCold(0) === true, 'target 3 being cold')
 })
 
-// Another writer puts bytes of its own under a target's key, again and again. The target isn't used until it has written
-// itself anew; all others are, and the log isn't filled.
-test('an entry that can not be read names no target, and the others of its answer hold', async () => {
+// Another writer repeatedly overwrites a target's key with unreadable bytes. The target is not used until it has written its entry
+// again, all other targets are, and the log is not flooded.
+test('a target with an unreadable entry is removed, and other entries of the same answer are applied', async () => {
   const { fleet, store } = followed
   await followed.waitFor(() => fleet.listTargetIds().length === 2, 'both targets')
   for (let time = 0; time < 20; time += 1) store.write('target/1', { time })
@@ -215,8 +215,8 @@
   await followed.waitFor(() => fleet.findTarget('1') !== undefined, 'target 1 again')
 })
 
-// Another writer's entry has the address of a live target and a service that nobody has heard of.
-test('an entry of a service that is not configured takes nobody\'s address', async () => {
+// Another writer's entry has the address of a live target and names a service that is not configured.
+test('an entry of a service that is not configured does not displace a target at its address', async () => {
   const { fleet } = followed
   await followed.waitFor(() => fleet.listTargetIds().length === 2, 'both targets')
   followed.writeTarget('9', { port: 8_001, service: 'elsewhere' })
@@ -224,9 +224,9 @@
   assert.ok(fleet.findTarget('1') !== undefined)
 })
 
-// All hosts restart after one of them has written a page of the account. Each loaded what serves operators in its first
-// second, in which callers wait for it, though no operator had declared anything.
-test('pages of the account alone do not bring the operators\' parts in, a read that was cut off among them does', async () => {
+// All hosts restart after one of them has written an account page. Each host loaded its operator service in its first second,
+// while callers were waiting, although no operator had declared any resource.
+test('account pages alone do not load the operator service, but a full read that stops among them does', async () => {
   const followed = new FollowedFleet()
   followed.writeTarget('1')
   followed.store.write('use/account/a', {})
@@ -246,8 +246,8 @@
   await cut.stop()
 })
 
-// Guards against one value that no host can deal with: each would stop at it, read it again and never see what came after it.
-test('a change that can not be applied does not hold up those after it', async () => {
+// Guards against a value that no host can apply: each host would stop at it, read it again and never apply later changes.
+test('a change that can not be applied does not block later ones', async () => {
   const { fleet, store, lines } = followed
   await followed.waitFor(() => fleet.isComplete, 'first read')
   followed.failsOnSuspects = true
@@ -257,9 +257,9 @@
   assert.ok(lines.some((line) => line.includes('change of the store not applied')))
 })
 
-// Guards against records that lapse while the store is away and forgets its history: nobody would write them again, and hosts that start
-// later would not know of the requests.
-test('a record of a suspect that is missing in a full read has gone', async () => {
+// Guards against records that expire while the store is unavailable and drops its history: no host would write them again, and
+// hosts that start later would not know the requests.
+test('a suspect record that is missing from a full read is reported as removed', async () => {
   const { fleet, store } = followed
   await followed.waitFor(() => fleet.isComplete, 'first read')
   store.write('suspect/f', { fingerprint: 'f', organisation: '', ended: [], cleared: [], trials: 0 })
@@ -267,7 +267,7 @@
   await followed.waitFor(() => fleet.findTarget('3') !== undefined, 'target 3')
   store.remove('suspect/f')
   store.dropHistory()
-  await followed.waitFor(() => followed.lapsedSuspects.includes('f'), 'the record that has gone')
+  await followed.waitFor(() => followed.lapsedSuspects.includes('f'), 'the removal of the record')
 })
 
 test.run()
--- a/packages/almondrelay-gateway/src/process/fleet/__tests__/hostAnnouncer.test.ts
+++ b/packages/almondrelay-gateway/src/process/fleet/__tests__/hostAnnouncer.test.ts
@@ -22,9 +22,9 @@
   }
 }
 
-// A host makes a planned stop on a busy machine, and its one call to take its entry out has no answer in time. Look-ups of other
-// regions name it for as long as its lease holds, to callers who find nobody there.
-test('a planned stop takes the entry out though calls are lost', async () => {
+// A host makes a planned stop on a busy machine, and its single call to remove its entry is not answered in time. Look-ups in other
+// regions would return the stopped host to callers until the lease expires.
+test('a planned stop removes the entry although calls are lost', async () => {
   const store = new FakeRevisionStore()
   const host = await start(store)
   assert.ok(store.has('host/own'))
@@ -33,9 +33,9 @@
   assert.not(store.has('host/own'))
 })
 
-// A host is stopped just after its start, while the answer to the write of its entry is on its way. It took the entry for
-// unwritten and left it behind.
-test('a planned stop takes out an entry whose write was never answered', async () => {
+// A host is stopped just after its start, before it has received the answer to the write of its entry. It assumed that the entry was
+// not written, and left it in the store.
+test('a planned stop removes an entry whose write was never answered', async () => {
   const store = new FakeRevisionStore()
   store.losesAnswers = true
   const host = await start(store)
@@ -44,7 +44,7 @@
   assert.not(store.has('host/own'))
 })
 
-test('a store that never answers does not hold a planned stop up', async () => {
+test('a store that never answers does not block a planned stop', async () => {
   const store = new FakeRevisionStore()
   const host = await start(store)
   store.lostReleases = Infinity
--- a/packages/almondrelay-gateway/src/process/fleet/__tests__/relayedChanges.test.ts
+++ b/packages/almondrelay-gateway/src/process/fleet/__tests__/relayedChanges.test.ts
@@ -3,39 +3,39 @@
 import { FollowedFleet } from '../__fixtures__/followedFleet.js'
 
 const test = suite('relayed changes and first reads')
-/** Milliseconds after which every wait for a change that was announced has passed. */
+/** Milliseconds after which every reported change is overdue. */
 const LONG_PAST_MS = 1_000
 let followed = new FollowedFleet()
 
-/** Waits until this host has its knowledge from others alone: the watch that was out ends with a change. */
+/** Waits until this host gets changes from watchers only: a change ends the pending watch. */
 const startRelying = async (): Promise<void> => {
   followed.reliesOnWatchers = true
   followed.store.write('evacuation/ended', {})
   followed.store.remove('evacuation/ended')
-  await followed.waitFor(() => followed.fleet.storeRevision === followed.store.latestRevision, 'the end of the watch that was out')
+  await followed.waitFor(() => followed.fleet.storeRevision === followed.store.latestRevision, 'the end of the pending watch')
   await new Promise((resolve) => { setTimeout(resolve, 700) })
 }
 
-/** Some looks of the follower for something to do. */
+/** Waits for some periodic checks of the follower. */
 const waitForLooks = (): Promise<void> => new Promise((resolve) => { setTimeout(resolve, 300) })
 
 test.before.each(() => { followed = FollowedFleet.startWithTargets() })
 test.after.each(() => followed.stop())
 
-// Seventy hosts watch the store, and each heartbeat of a cold target answers them all. Of a region's hosts two watch and hand
-// changes on; the others ask for one that decides something only where it was lost, or when nobody can be relied on.
-test('a host that relies on others\' watches asks only for what decides something', async () => {
+// If seventy hosts watched the store, each heartbeat of a cold target would end all of their watches. Two hosts of a region watch
+// and relay changes; the others query the store only for a notable change that was lost, or if no watcher is reliable.
+test('a host that relies on watchers queries the store only for notable changes', async () => {
   const { fleet, store, follower } = followed
   await startRelying()
   const { watches } = store
   followed.writeTarget('1', { sequence: 2 })
   follower.hearRevision(store.latestRevision, fleet.notableRevision, 0)
   await waitForLooks()
-  assert.is(store.watches, watches, 'a heartbeat is asked for')
+  assert.is(store.watches, watches, 'the store is queried for a heartbeat')
   store.remove('target/1')
   follower.hearRevision(store.latestRevision, store.latestRevision, 0)
   await waitForLooks()
-  assert.is(store.watches, watches, 'a change that may still be handed on is asked for')
+  assert.is(store.watches, watches, 'the store is queried for a change that may still be relayed')
   followed.now += LONG_PAST_MS
   await followed.waitFor(() => fleet.findTarget('1') === undefined, 'end of target 1')
   assert.is(store.watches, watches + 1)
@@ -47,12 +47,12 @@
   assert.ok(store.watches - before <= 2, `${store.watches - before} calls for a revision that never comes`)
   followed.reliesOnWatchers = false
   store.remove('target/2')
-  await followed.waitFor(() => fleet.findTarget('2') === undefined, 'end of target 2, though nobody told of it')
+  await followed.waitFor(() => fleet.findTarget('2') === undefined, 'end of target 2, though no peer reported it')
 })
 
-// A target leaves in a fleet of 195 hosts. Each host asked the store for it, which made one change 195 calls; 5,200 of the
-// 6,900 calls of a quiet day were such. Watchers hand the change itself on instead, and nobody asks.
-test('changes that a watcher hands on are known without a call', async () => {
+// A target leaves in a fleet of 195 hosts. Each host queried the store for the change, which took 195 calls; 5,200 of the
+// 6,900 calls of a quiet day were of this kind. Watchers relay the change itself instead, and no other host queries the store.
+test('relayed changes are applied without a call to the store', async () => {
   const { fleet, store, follower } = followed
   await startRelying()
   const { watches } = store
@@ -63,12 +63,12 @@
   follower.hearRevision(known + 9, known + 2, followed.now)
   followed.now += LONG_PAST_MS
   await waitForLooks()
-  assert.is(store.watches, watches, 'what was handed on is asked for')
+  assert.is(store.watches, watches, 'the store is queried for a relayed change')
 })
 
-// Of two changes the first one's datagram is lost. Applied alone, the second would hide the gap for good: a target that has
-// left would go on getting requests, though everybody believes that all is known.
-test('a change after one that was lost is not taken; the store is asked for both', async () => {
+// The datagram of the first of two changes is lost. If the second change were applied alone, the gap would stay hidden: a target
+// that has left would continue to get requests, although the state seems complete.
+test('a change after a lost one is not applied, and the store is queried for both', async () => {
   const { fleet, store, follower } = followed
   await startRelying()
   const known = fleet.storeRevision
@@ -83,9 +83,9 @@
   await followed.waitFor(() => fleet.listTargetIds().length === 0, 'both changes')
 })
 
-// A target left at revision 12. Late, a watcher's word of revision 10, at which it stood, arrives: taken in, it would bring
-// the target back for good, and every request for its keys would fail.
-test('changes that are older than what is known change nothing', async () => {
+// A target left at revision 12. A delayed datagram of a watcher then brings its entry of revision 10: if this were applied, the
+// target would come back for good, and every request for its keys would fail.
+test('relayed changes that are older than the state are ignored', async () => {
   const { fleet, store, follower } = followed
   await startRelying()
   const [entry] = fleet.listTargets('balances').map((target) => target.entry)
@@ -100,13 +100,13 @@
   assert.is(fleet.listTargetIds().length, 1)
 })
 
-test('a host that watches for its region hands on what decides something, and nothing else', async () => {
+test('a watcher relays notable changes and no others', async () => {
   const { fleet, store, relayed } = followed
   await followed.waitFor(() => fleet.isComplete, 'first read')
   followed.isReliedOn = true
   const { notableRevision } = fleet
   store.remove('target/1')
-  await followed.waitFor(() => relayed.length === 1, 'the change handed on')
+  await followed.waitFor(() => relayed.length === 1, 'the relayed change')
   assert.is(relayed[0]?.afterRevision, notableRevision)
   assert.is(relayed[0]?.upToRevision, store.latestRevision)
   assert.equal(relayed[0]?.events, [{ kind: 'deleted', key: 'target/1', revision: store.latestRevision }])
@@ -116,9 +116,9 @@
   assert.is(relayed.length, 1)
 })
 
-// A watcher hears from a target's own answer that it left before the store says so. Judged by what the watcher knew by then,
-// the store's word changed nothing and was not handed on: the rest of the region went on sending to the target.
-test('a watcher hands on what it had found out by itself', async () => {
+// A watcher learns from a target's answer that the target left, before the store reports it. Compared with the watcher's own
+// observations the store's change was not notable and was not relayed: the rest of the region continued to use the target.
+test('a watcher relays changes that it had already observed by itself', async () => {
   const { fleet, store, relayed } = followed
   await followed.waitFor(() => fleet.isComplete, 'first read')
   followed.isReliedOn = true
@@ -126,15 +126,15 @@
   if (target === undefined) throw new Error('no target')
   fleet.removeMisdirected(target, 0)
   store.remove('target/1')
-  await followed.waitFor(() => relayed.length === 1, 'the end of target 1 handed on')
+  await followed.waitFor(() => relayed.length === 1, 'the relayed end of target 1')
   fleet.findTarget('2')?.markCold(3_000, 0)
   followed.writeTarget('2', { sequence: 2, coldForMs: 3_000 })
-  await followed.waitFor(() => relayed.length === 2, 'that target 2 is cold handed on')
+  await followed.waitFor(() => relayed.length === 2, 'the relayed entry of target 2, which is cold')
 })
 
-// The store forgets its history, and a target left in the gap: no change tells of it. The watcher sees it by reading
-// everything; the others must hear that there is something to ask for.
-test('after a history that is gone the others are told to ask', async () => {
+// The store drops its history, and with it the change by which a target left. The watcher notices by a full read; the revision
+// that it reports must make the other hosts query the store.
+test('after a full read because of a dropped history the notable revision makes other hosts query the store', async () => {
   const { fleet, store } = followed
   await followed.waitFor(() => fleet.isComplete, 'first read')
   store.isHung = true
@@ -147,20 +147,20 @@
   assert.is(fleet.notableRevision, store.latestRevision)
 })
 
-// All hosts restart, and each reads hundreds of keys at once. Pages that may be some seconds old cost a tenth; a target that
-// left since must not come back by them, nor one that came since be missing.
-test('a first read of old pages is completed by the changes since', async () => {
+// All hosts restart, and each reads hundreds of keys at once. Stale pages cost a tenth of current ones; a target that has left since
+// must not come back through them, and one that was added since must not be missing.
+test('a first read of stale pages is completed by the changes since', async () => {
   const started = await FollowedFleet.prepareOldPages()
   started.writeTarget('2')
   const { currentPages } = started.store
   started.start()
   await started.waitFor(() => started.fleet.isComplete, 'first read')
   assert.equal(started.fleet.listTargetIds(), ['2'])
-  assert.is(started.store.currentPages, currentPages, 'pages are read twice')
+  assert.is(started.store.currentPages, currentPages, 'the pages are read again')
   await started.stop()
 })
 
-test('a first read of old pages whose changes since are forgotten is made anew', async () => {
+test('a first read of stale pages is repeated with current ones if the store no longer holds the changes since', async () => {
   const started = await FollowedFleet.prepareOldPages()
   started.store.dropHistory()
   started.start()
--- a/packages/almondrelay-gateway/src/process/fleet/fleetChange.ts
+++ b/packages/almondrelay-gateway/src/process/fleet/fleetChange.ts
@@ -3,7 +3,7 @@
 import type { SuspectRecord } from '../quarantine/suspectRecord.js'
 import type { HostEntry } from './hostEntry.js'
 
-/** What a key of the store says, decoded. */
+/** Decoded change of one key of the store. */
 export type FleetChange =
   | { kind: 'configuration', configuration: SteeringConfiguration }
   | { kind: 'target', entry: TargetEntry }
@@ -11,12 +11,12 @@
   | { kind: 'evacuation', availabilityZone: string, isEvacuated: boolean }
   | { kind: 'host', entry: HostEntry }
   | { kind: 'host-gone', name: string }
-  /** A change of the resources that operators declare here. */
+  /** Change of the resources that operators declare through this product. */
   | { kind: 'declared', revision: number, body: Buffer }
-  /** Targets ended under a request; the revision is that of the record. */
+  /** Record of a request that was running when targets exited, with the revision of the record. */
   | { kind: 'suspect', record: SuspectRecord, revision: number }
   | { kind: 'suspect-gone', fingerprint: string }
-  /** The entry of a target can't be read: it names no target to use until it is written anew. */
+  /** A target's entry can't be decoded: the target is not used until a valid entry is written. */
   | { kind: 'target-unreadable', id: string, key: string, reason: string }
-  /** The value can't be used; what was known of the key stays in force. */
+  /** The value is not usable; the last known state of the key stays in force. */
   | { kind: 'invalid', key: string, reason: string }
--- a/packages/almondrelay-gateway/src/process/fleet/fleetCodec.ts
+++ b/packages/almondrelay-gateway/src/process/fleet/fleetCodec.ts
@@ -3,18 +3,18 @@
 import type { FleetChange } from './fleetChange.js'
 import type { HostEntry } from './hostEntry.js'
 
-/** Which keys of the store hold what, and how their values are written. */
+/** Maps keys and values of the store to changes of the fleet, and entries and records of this host to keys and values. */
 export abstract class FleetCodec {
-  /** Prefixes that together hold every key that matters. */
+  /** Key prefixes that together cover every key that hosts use. */
   abstract readonly prefixes: readonly string[]
 
-  /** Begins the keys of the product's own. They come after all others, and a full read ends at the first. */
+  /** Prefix of the product's own keys. They sort after all other keys, and a full read stops at the page that reaches them. */
   abstract readonly productPrefix: string
 
-  /** Undefined for a key that means nothing to a host. */
+  /** Returns undefined for a key that hosts do not use. */
   abstract decode (event: StoreEvent): FleetChange | undefined
 
-  /** Whether the key of what a change is about stands under a prefix. */
+  /** Whether the key that a change concerns lies under a prefix. */
   abstract isUnder (prefix: string, change: FleetChange): boolean
 
   abstract encodeHost (entry: HostEntry): { key: string, value: Buffer }
--- a/packages/almondrelay-gateway/src/process/fleet/fleetFollower.ts
+++ b/packages/almondrelay-gateway/src/process/fleet/fleetFollower.ts
@@ -14,38 +14,41 @@
 import { FleetUpdater } from './fleetUpdater.js'
 
 /**
- * Wait of one watch of the hosts that watch for their region, in milliseconds: an empty answer to it shows that nothing
- * was missed, so this bounds the age of what a region believes.
+ * Timeout of a watch call of the hosts that watch the store for their region, in milliseconds. An empty answer confirms that no
+ * change was missed, so this bounds the age of the region's state.
  */
 const WATCH_MS = 2_000
-/** The same where other hosts rely on this one's watch: the age of what it knows is the age of what they know. */
+/** The same for a watcher that other hosts rely on: their state is at least as old as its own. */
 const RELIED_WATCH_MS = 1_000
-/** Longest time, in milliseconds, for which a host that relies on others' watches doesn't ask the store without their word. */
+/** Milliseconds after which a host that relies on watchers queries the store itself, if no watcher has confirmed its state. */
 const LONGEST_UNASKED_MS = 5_000
 /**
- * Milliseconds after the word of a change for the change itself to be handed on: reports of
- * those who have it already cross its datagram. After that it was lost, and the store is asked.
+ * Milliseconds within which a change must be relayed after a peer has reported its revision: reports of peers that have the change
+ * already may overtake its datagram. After that the datagram counts as lost, and the store is queried.
  */
 const RELAY_GRACE_MS = 300
-/** Wait of the others' watches: they too hear of changes at once, and from peers if their watch has gone silent. */
+/**
+ * Timeout of a watch call of hosts that are not watchers, in milliseconds. They too get changes at once, and learn from peers' reports
+ * if their watch has stalled.
+ */
 const LONG_WATCH_MS = 15_000
 /**
- * Milliseconds for which peers may know of newer changes before a watch counts as silent: the pause after changes
- * and the interval of peers' reports.
+ * Milliseconds for which peers may report newer revisions before the watch counts as stalled: covers the pause after changes and the
+ * interval between peers' reports.
  */
 const BEHIND_MS = 1_000
 /**
- * Pause after changes, in milliseconds: entries change in groups, as at a start or a release, and each answer
- * of a watch is a call that the platform counts.
+ * Pause after changes, in milliseconds: entries change in groups, such as when targets start or during a release, and each
+ * answer of a watch is a call that the platform counts.
  */
 const BATCH_MS = 500
-/** Milliseconds between looks for entries that lapsed, for a change of who watches and for changes that don't come. */
+/** Milliseconds between checks for lapsed entries, for a change of watchers and for relayed changes that are overdue. */
 const CHECK_MS = 200
-/** Pause after a failed call, doubled up to the longest, spread by chance so that hosts don't return together. */
+/** Delay after a failed call, doubled up to the maximum, with jitter so that hosts don't reconnect all at once. */
 const PAUSE = { firstMs: 200, longestMs: 500 }
 /**
- * The same for hosts of regions of many that leave watching to others: they go on by themselves only because those don't
- * reach the store either, and with their first word after its return they rely on them again.
+ * The same for hosts of large regions that rely on watchers: they query the store themselves only because the watchers do not reach
+ * it either, and rely on them again with the watchers' first report after the store has recovered.
  */
 const MANY_PAUSE = { firstMs: 1_000, longestMs: 8_000 }
 
@@ -58,43 +61,46 @@
   getNow: () => number
   random: () => number
   ownName: string
-  /** Called after a change of the configuration. */
+  /** Called after a new configuration has come into force. */
   handleConfiguration: () => void
-  /** Called when this host's own entry is gone though it runs. */
+  /** Called when this host's own entry was removed from the store while the host is running. */
   handleOwnEntryGone: () => void
   /** Called with a change of the resources that operators declare. */
   handleDeclared: (revision: number, body: Buffer) => void
-  /** Called with a record of a request under which targets ended. */
+  /** Called with the record of a request that was running when targets exited. */
   handleSuspect: (record: SuspectRecord, revision: number) => void
-  /** Called when such a record has lapsed. */
+  /** Called when such a record was removed or has expired. */
   handleSuspectGone: (fingerprint: string) => void
-  /** Called after a full read that left keys of the product's own out, so that there may be changes among them. */
+  /** Called after a full read that did not reach the end of the product's own keys: there may be changes among those left out. */
   handleUnreadKeys: () => void
-  /** Whether this host is one of those that watch with short waits for their region. */
+  /** Whether this host is one of the watchers of its region, which watch the store with short timeouts. */
   isWatcher: () => boolean
-  /** Whether other hosts of the region rely on this one where it watches. */
+  /** Whether the other hosts of the region rely on the watchers' watches. */
   isReliedOn: () => boolean
-  /** Whether this host may leave it to others to watch, and ask only when they know of a change that decides something. */
+  /** Whether this host may rely on its region's watchers and query the store only for notable changes that they report. */
   hasReliableWatchers: () => boolean
-  /** Hands changes on to the other hosts of the region. */
+  /** Relays changes to the other hosts of the region. */
   relay: (changes: RelayedChanges) => void
 }
 
-/** Keeps what the host knows in step with the store. */
+/**
+ * Keeps the fleet's state up to date with the store. In a large region a few hosts, its watchers, watch the store and relay notable
+ * changes, those after which hosts decide differently; the other hosts rely on them as long as they report a recent state.
+ */
 export class FleetFollower {
   private readonly updater: FleetUpdater
-  /** Ends the wait of the watch that is out. */
+  /** Aborts the pending watch call; undefined while none is pending. */
   private interrupt: AbortController | undefined
   private isWaitLong = false
   private hasToCatchUp = false
   private newestHeard = 0
   private notableHeard = 0
-  /** No watch is out: this host waits for the word of those that watch. */
+  /** No watch is pending: this host waits for changes relayed by the watchers. */
   private isRelying = false
   private behindSince: number | undefined
-  /** Up to which this host knows all that decides something by what was handed on. */
+  /** Revision up to which the state is complete by relayed changes and watchers' reports. */
   private handedOnRevision = 0
-  /** Since when this host has had the word of a change but not the change. */
+  /** Since when a peer has reported a notable change that this host has not received. */
   private wordSince: number | undefined
 
   constructor (private readonly parts: FollowerParts) {
@@ -107,11 +113,11 @@
   }
 
   /**
-   * A peer has seen all changes up to a revision; where this host hasn't for long, its watch is silent. One that relies on
-   * others has no watch: that it lacks changes which decide nothing is no fault, and asking for them cost a call a second
-   * and host.
+   * Records the revision up to which a peer knows all changes. If this host's state has been behind it for too long, its watch has
+   * stalled and is restarted. A host that relies on watchers has no watch: it may lack changes that are not notable, and querying the
+   * store for them cost a call per second and host.
    *
-   * @param notableRevision the last one that the peer knows by which it decides otherwise than before
+   * @param notableRevision revision of the last notable change that the peer knows
    */
   hearRevision (revision: number, notableRevision: number, now: number): void {
     this.newestHeard = Math.max(this.newestHeard, revision)
@@ -123,14 +129,14 @@
     this.behindSince ??= now
     if (now - this.behindSince < BEHIND_MS) return
     this.behindSince = now
-    this.refresh('a peer knows newer changes')
+    this.refresh('a peer reports newer changes')
   }
 
   /**
-   * A host that watches for this region knows all changes up to a revision, and handed on what it had to: what this
-   * host knows is as fresh as what the watcher knows.
+   * Records the state that a watcher of this region reports. If this host has all notable changes that the watcher knows, its state
+   * is as current as the watcher's.
    *
-   * @param ageMs milliseconds since the store confirmed what the watcher knows
+   * @param ageMs milliseconds since the store confirmed the watcher's state
    */
   hearWatcher (revision: number, notableRevision: number, ageMs: number, now: number): void {
     const { fleet } = this.parts
@@ -141,9 +147,9 @@
   }
 
   /**
-   * Takes in changes that a host which watches for this region hands on. While a call of this host's own is out they are left
-   * to its answer, which may be older and would undo them. Changes before them that were lost show by `afterRevision`; then
-   * the word of them stays without the change, and the store is asked.
+   * Applies changes that a watcher of this region relays. They are ignored while a call of this host's own is pending, as its
+   * answer may be older and would undo them. They are also ignored if `afterRevision` shows that earlier changes were lost:
+   * the reported revision then stays ahead of the state, and the store is queried for all of them.
    */
   acceptRelayed ({ afterRevision, upToRevision, events }: RelayedChanges): void {
     const { fleet } = this.parts
@@ -154,12 +160,12 @@
     this.handedOnRevision = upToRevision
   }
 
-  /** Begins the watch anew, on another connection, and asks at once what was missed. */
+  /** Restarts the watch on another connection and requests at once the changes that were missed. */
   refresh (reason: string): void {
     if (this.interrupt === undefined && !this.isRelying) return
     this.hasToCatchUp = true
     if (this.interrupt === undefined) return
-    this.parts.log.record('watch begun anew', { reason, revision: this.parts.fleet.storeRevision })
+    this.parts.log.record('store watch restarted', { reason, revision: this.parts.fleet.storeRevision })
     this.interrupt.abort()
   }
 
@@ -173,7 +179,7 @@
         this.parts.fleet.confirmedAt = this.parts.getNow()
       } catch (error) {
         if (signal.aborted) return
-        this.parts.log.logError('store not followed', error as Error)
+        this.parts.log.logError('read or watch of the store failed', error as Error)
         failures += 1
         await this.waitAfterFailure(failures, signal)
       }
@@ -191,7 +197,7 @@
     while (!signal.aborted && !hasReliableWatchers() && getNow() < end) await sleepFor(CHECK_MS, signal)
   }
 
-  /** Reads everything under a prefix; what isn't there any more is gone. Returns the revision from which to watch. */
+  /** Reads all keys under a prefix and removes whatever is missing from them. Returns the revision from which to watch. */
   private async readAll (prefix: string, signal: AbortSignal): Promise<number> {
     const { fleet, log } = this.parts
     const read = await readEverything(this.parts.store, this.parts.codec, prefix, signal)
@@ -199,10 +205,10 @@
     this.updater.applyEvents(read.events)
     fleet.isComplete = true
     fleet.storeRevision = Math.max(fleet.storeRevision, read.revision)
-    // What vanished in a history that is gone has no change that could be handed on: the others hear that there is something to ask for.
+    // Deletions that the store's history no longer holds can't be relayed: the raised revision makes the other hosts query the store.
     fleet.notableRevision = Math.max(fleet.notableRevision, read.revision)
-    log.record('read from the store', { prefix, revision: read.revision, keys, isLapse })
-    // Pages of the account alone don't bring the operators' parts in: hosts that restart have no time to load them.
+    log.record('full read of the store applied', { prefix, revision: read.revision, keys, isLapse })
+    // Account pages alone do not load the operator service: a restarting host has no time for it.
     if (read.isCutOff) this.parts.handleUnreadKeys()
     return read.revision
   }
@@ -215,23 +221,23 @@
     const result = await this.waitForChanges(prefix, known, signal)
     if (result === undefined) return known
     if (result.kind === 'history-gone') {
-      log.report('history of the store gone', { prefix, revision: known })
+      log.report('history of the store no longer available, reading all keys again', { prefix, revision: known })
       return undefined
     }
     const notableBefore = fleet.notableRevision
     const notable = this.updater.applyEvents(result.events)
     fleet.storeRevision = Math.max(fleet.storeRevision, result.revision)
     if (notable.length > 0 && this.parts.isReliedOn() && this.parts.isWatcher()) this.parts.relay({ afterRevision: notableBefore, upToRevision: result.revision, events: notable, forwardTo: [] })
-    // A host that asks on others' word pauses after each answer: a wrong word of a revision to come would else make it ask without end.
+    // A host that relies on watchers always pauses: otherwise a false report of a future revision would make it query in a tight loop.
     if (result.events.length > 0 || isOnWord) await sleepFor(BATCH_MS, signal)
     return result.revision
   }
 
   /**
-   * Takes in what the region's watchers hand on, until a change that they know of doesn't come or none of them can be relied
-   * on any more.
+   * Waits while the watchers of the region relay changes: until a change that they report is overdue, none of them is reliable
+   * any more, or they have not confirmed the state for too long.
    *
-   * Answers fleets whose every host watches or asks: each change is then a call of every host, and the platform counts calls.
+   * If every host watched or queried the store, each change would be a call of every host, and the platform counts calls.
    */
   private async waitForWord (signal: AbortSignal): Promise<void> {
     const { fleet, getNow, hasReliableWatchers } = this.parts
@@ -243,7 +249,7 @@
     this.hasToCatchUp = true
   }
 
-  /** Whether there was word of a change that decides something, and the change itself hasn't come for too long. */
+  /** Whether a notable change has been reported for too long without being received. */
   private isChangeOverdue (now: number): boolean {
     if (this.notableHeard <= this.parts.fleet.storeRevision) {
       this.wordSince = undefined
@@ -253,7 +259,7 @@
     return now - this.wordSince >= RELAY_GRACE_MS
   }
 
-  /** Undefined where the wait was interrupted. */
+  /** Returns undefined if the watch was interrupted by a refresh. */
   private async waitForChanges (prefix: string, revision: number, signal: AbortSignal): Promise<WatchResult | undefined> {
     const interrupt = new AbortController()
     const handleAbort = (): void => { interrupt.abort() }
@@ -284,7 +290,7 @@
     while (!signal.aborted) {
       await sleepFor(CHECK_MS, signal)
       this.updater.expireLapsed()
-      if (this.isWaitLong && this.parts.isWatcher()) this.refresh('this host watches for its region now')
+      if (this.isWaitLong && this.parts.isWatcher()) this.refresh('this host is now a watcher of its region')
     }
   }
 }
--- a/packages/almondrelay-gateway/src/process/fleet/fleetState.ts
+++ b/packages/almondrelay-gateway/src/process/fleet/fleetState.ts
@@ -7,15 +7,15 @@
 import type { HostEntry } from './hostEntry.js'
 
 interface FleetListener {
-  /** A target takes no new requests; those that it has go on. */
+  /** A target was removed: it gets no new requests, and those it is running continue. */
   targetRemoved: (target: TargetState) => void
-  /** A target was started again: what was sent to the life before will never be answered. */
+  /** A target restarted: requests sent to its previous incarnation will never be answered. */
   targetRestarted: (target: TargetState) => void
-  /** A host's entry is gone. */
+  /** A host's entry was removed from the store. */
   hostRemoved: (entry: HostEntry) => void
 }
 
-/** Everything that this host has learnt from the platform, as of now. Times are monotonic milliseconds. */
+/** State of the fleet as last known from the platform's store: configuration, targets and hosts. Times are monotonic milliseconds. */
 export class FleetState {
   configuration: SteeringConfiguration | undefined
   routes = new RouteTable([])
@@ -24,21 +24,21 @@
   private readonly targetsByService = new Map<string, TargetState[]>()
   private readonly evacuatedZones = new Set<string>()
   private readonly hosts = new Map<string, HostEntry>()
-  /** Targets by the hash that names their life in reports between hosts. */
+  /** Targets by the hash that identifies their incarnation in reports between hosts. */
   private readonly targetsByIncarnation = new Map<number, TargetState>()
   private readonly targetsByAddress = new Map<string, Set<TargetState>>()
-  /** Grows with each change of the hosts. */
+  /** Incremented with each change of the hosts. */
   hostsRevision = 0
-  /** Monotonic milliseconds at which the store last confirmed all this; undefined before the first read. */
+  /** Monotonic milliseconds at which the store last confirmed this state; undefined before the first read. */
   confirmedAt: number | undefined
   /**
-   * Monotonic milliseconds at which the store last confirmed to a peer that there is nothing newer than what this host knows.
-   * A host whose watch waits long hears nothing of the store while nothing changes, and is up to date all the same.
+   * Monotonic milliseconds at which the store last confirmed to a peer that there is nothing newer than this state. A host
+   * with a long watch timeout gets no answer from the store while nothing changes, although its state is up to date.
    */
   private vouchedAt = -Infinity
-  /** Revision of the store up to which all changes are known. */
+  /** Revision of the store up to which this state includes all changes. */
   storeRevision = 0
-  /** Revision of the last change by which this host decides otherwise than before. */
+  /** Revision of the last notable change: one after which hosts decide differently than before. */
   notableRevision = 0
   /** The first full read of targets and hosts is done. */
   isComplete = false
@@ -47,7 +47,7 @@
 
   constructor (private readonly listener: FleetListener) {}
 
-  /** Resolves with the first configuration, at once where there is one, and without one when the time has passed. */
+  /** Resolves once there is a configuration, at once if there is one already, or after the timeout without one. */
   async waitForConfiguration (mostMs: number): Promise<void> {
     if (this.configuration !== undefined || mostMs <= 0) return
     await new Promise<void>((resolve) => {
@@ -56,7 +56,7 @@
     })
   }
 
-  /** Takes a version into force; false for one that isn't newer, so that a late read can't bring an old one back. */
+  /** Puts a version in force; returns false if it isn't newer, so that a delayed read can't restore an old version. */
   adoptConfiguration (configuration: SteeringConfiguration): boolean {
     if (this.configuration !== undefined && configuration.version <= this.configuration.version) return false
     this.configuration = configuration
@@ -67,15 +67,16 @@
   }
 
   /**
-   * A peer says that the store had nothing newer at a time.
+   * Records a peer's report that the store had nothing newer at a given time.
    *
-   * @param notableRevision the last change that the peer knows by which hosts decide otherwise
+   * @param notableRevision revision of the last notable change that the peer knows
+   * @param confirmedAt when the store confirmed the peer's state
    */
   hearConfirmation (notableRevision: number, confirmedAt: number): void {
     if (this.storeRevision >= notableRevision) this.vouchedAt = Math.max(this.vouchedAt, confirmedAt)
   }
 
-  /** For how long nothing has said that what this host knows is up to date, in milliseconds. */
+  /** Returns the milliseconds since this state was last confirmed to be current, by the store or through a peer. */
   computeAge (now: number): number {
     return now - Math.max(this.confirmedAt ?? -Infinity, this.vouchedAt)
   }
@@ -129,7 +130,7 @@
     return target
   }
 
-  /** Removes a target whose address turned out to be another one's, unless it was started again meanwhile. */
+  /** Removes a target at whose address another target answered, unless it has restarted in the meantime. */
   removeMisdirected (target: TargetState, now: number): void {
     if (this.targets.get(target.entry.id) === target) this.removeTarget(target.entry.id, now)
   }
@@ -156,7 +157,7 @@
     return [...this.targets.keys()]
   }
 
-  /** The target of which a life is named by this hash in reports between hosts. */
+  /** Returns the target whose incarnation this hash identifies in reports between hosts. */
   findIncarnation (incarnationHash: number): TargetState | undefined {
     return this.targetsByIncarnation.get(incarnationHash)
   }
@@ -203,12 +204,12 @@
     return [...this.hosts.values()]
   }
 
-  // An entry of a service that no configuration names comes from another writer: it takes nobody's address.
+  // An entry of a service that is not configured comes from another writer of the store: it does not displace a target at its address.
   private isKnownService (name: string): boolean {
     return this.configuration === undefined || this.configuration.services.has(name)
   }
 
-  // An address is used again by another target once its own has ended: the old entry may outlive it.
+  // An address may be reused by a new target while the entry of the exited target that had it before still exists.
   private clearAddress (entry: TargetEntry, now: number): void {
     for (const target of this.targetsByAddress.get(describeAddress(entry)) ?? []) this.removeTarget(target.entry.id, now)
   }
--- a/packages/almondrelay-gateway/src/process/fleet/fleetUpdater.ts
+++ b/packages/almondrelay-gateway/src/process/fleet/fleetUpdater.ts
@@ -19,41 +19,44 @@
   log: EventLog
   getNow: () => number
   ownName: string
-  /** Called after a change of the configuration. */
+  /** Called after a new configuration has come into force. */
   handleConfiguration: () => void
-  /** Called when this host's own entry is gone though it runs. */
+  /** Called when this host's own entry was removed from the store while the host is running. */
   handleOwnEntryGone: () => void
   /** Called with a change of the resources that operators declare. */
   handleDeclared: (revision: number, body: Buffer) => void
-  /** Called with a record of a request under which targets ended. */
+  /** Called with the record of a request that was running when targets exited. */
   handleSuspect: (record: SuspectRecord, revision: number) => void
-  /** Called when such a record has lapsed. */
+  /** Called when such a record was removed or has expired. */
   handleSuspectGone: (fingerprint: string) => void
 }
 
 interface DecodedChange {
   change: FleetChange
   event: StoreEvent
-  /** Revision of the store at which it was made. */
+  /** Revision of the store at which the change was made. */
   revision: number
-  /** Revision at which the key came into being; of a deletion, its own. */
+  /** Revision at which the key was created; for a deletion, that of the deletion. */
   createdRevision: number
 }
 
-/** Puts what the store says into the fleet's state, and tells entries that lapsed with the store from targets that are gone. */
+/**
+ * Applies changes of the store to the fleet's state. Distinguishes a lapse, in which targets' entries expired because the store
+ * was unavailable and may be written again, from targets that have left.
+ */
 export class FleetUpdater {
-  /** Targets whose entries are gone and may come back, with the time at which they count as gone. */
+  /** Targets whose entries have lapsed and may be written again, with the time at which the targets are removed. */
   private readonly lapsing = new Map<string, number>()
-  /** Revision at which each known target's entry came into being. */
+  /** Revision at which each known target's entry was created. */
   private readonly createdRevisions = new Map<string, number>()
-  /** Requests under which targets ended and that have a record. */
+  /** Fingerprints of the requests that have a suspect record. */
   private readonly suspects = new Set<string>()
   private readonly latest = new LatestEntries()
   private readonly unusable = new RepeatFilter()
 
   constructor (private readonly parts: UpdaterParts) {}
 
-  /** Takes in everything that stands under a prefix: what isn't there any more is gone. */
+  /** Applies a full read of a prefix: whatever is known under the prefix and is missing from the read is removed. */
   applyRead (prefix: string, events: readonly StoreEvent[]): { keys: number, isLapse: boolean } {
     const known = new Map(this.createdRevisions)
     const present = new Set<string>()
@@ -66,14 +69,14 @@
     return { keys: present.size, isLapse }
   }
 
-  /** Takes in changes, in order. Returns those by which a host decides otherwise than before. */
+  /** Applies changes in order. Returns the notable ones. */
   applyEvents (events: readonly StoreEvent[]): StoreEvent[] {
     const changes = events.flatMap((event) => this.decodeEvent(event))
     const isLapse = findLapse({ known: this.createdRevisions, present: this.listPresentAfter(changes) })
     return changes.filter((change) => this.applyDecoded(change, isLapse)).map(({ event }) => event)
   }
 
-  /** Removes the targets whose entries have not come back in time. */
+  /** Removes the targets whose lapsed entries were not written again in time. */
   expireLapsed (): void {
     const now = this.parts.getNow()
     for (const [id, end] of this.lapsing) {
@@ -81,7 +84,7 @@
     }
   }
 
-  /** Nothing for a key that means nothing to a host. */
+  /** Returns an empty list for a key that hosts do not use. */
   private decodeEvent (event: StoreEvent): DecodedChange[] {
     const change = this.parts.codec.decode(event)
     if (change === undefined) return []
@@ -89,7 +92,7 @@
     return [{ change, event, revision: event.item.revision, createdRevision: event.item.createdRevision }]
   }
 
-  /** The targets whose entries stand after these changes. */
+  /** Lists the targets whose entries exist after these changes, with the revisions at which the entries were created. */
   private listPresentAfter (changes: readonly DecodedChange[]): Map<string, number> {
     const present = new Map(this.createdRevisions)
     for (const { change, createdRevision } of changes) {
@@ -112,7 +115,7 @@
     }
   }
 
-  // One change that can't be applied would else hold up all that come after it, at every host and after each restart.
+  // Otherwise one change that can't be applied would block all later ones, on every host and again after each restart.
   private applyDecoded (change: DecodedChange, isLapse: boolean): boolean {
     try {
       return this.applyOne(change, isLapse)
@@ -122,7 +125,7 @@
     }
   }
 
-  /** Returns whether a host decides otherwise after the change than before. */
+  /** Returns whether the change is notable. */
   private applyOne ({ change, revision, createdRevision }: DecodedChange, isLapse: boolean): boolean {
     const { fleet, getNow } = this.parts
     const isNotable = isNotableChange(change, fleet, getNow())
@@ -135,7 +138,7 @@
   private apply (change: FleetChange, isLapse: boolean): void {
     const { fleet, log, getNow } = this.parts
     const now = getNow()
-    // Nearly all changes are targets: a match over all kinds takes half of what a host that starts does with a thousand of them.
+    // Nearly all changes are target entries: a match over all kinds takes half of the time that a starting host spends on a thousand.
     if (change.kind === 'target') {
       this.applyTarget(change.entry, now)
       return
@@ -160,7 +163,7 @@
         fleet.putHost(entry)
       })
       .with({ kind: 'host-gone' }, ({ name }) => {
-        log.record('peer gone', { peer: name })
+        log.record('peer removed', { peer: name })
         if (name === this.parts.ownName) this.parts.handleOwnEntryGone()
         else fleet.removeHost(name)
       })
@@ -181,15 +184,16 @@
     const { fleet, log } = this.parts
     const known = fleet.findTarget(entry.id)
     if (!this.latest.accept(entry)) {
-      log.record('older entry of a target passed over', { entry })
-      // Where targets state no start, fewer heartbeats may also be those of a new life: cold, it would fall over at the rate of a warm one.
+      log.record('outdated target entry ignored', { entry })
+      // If targets state no start time, a lower heartbeat count may also mean a restart. A target that states that it is cold is then
+      // marked as cold, as it would collapse at the request rate of a warm one.
       if (known !== undefined && entry.incarnation === undefined) known.markCold(entry.coldForMs, now)
       return
     }
     this.lapsing.delete(entry.id)
     const isRestart = known !== undefined && known.entry.incarnation !== entry.incarnation
     if (isRestart) log.report('target was started again', { entry, before: known.entry.incarnation })
-    // The first read is one line of its own: a thousand more in a host's first second take its processor from its callers.
+    // The first read is logged as a single line: a thousand more in a host's first second would take processor time from its callers.
     else if (fleet.isComplete && known?.entry.draining !== entry.draining) log.record('target', { entry })
     fleet.putTarget(entry, now)
   }
@@ -205,7 +209,7 @@
     if (isLapse && !target.isLeaving()) {
       const end = Math.min(health.findLapseEnd(now), this.lapsing.get(id) ?? Infinity)
       this.lapsing.set(id, end)
-      log.record('target entry lapsed while the store was away', { target: id, untilMs: Math.round(end - now) })
+      log.record('target entry expired while the store was unavailable', { target: id, untilMs: Math.round(end - now) })
       return
     }
     this.removeTarget(id, now)
@@ -215,11 +219,11 @@
     this.lapsing.delete(id)
     this.createdRevisions.delete(id)
     this.parts.fleet.removeTarget(id, now)
-    this.parts.log.record('target gone', { target: id })
+    this.parts.log.record('target removed', { target: id })
   }
 }
 
-/** Names what a change is about, the same for its coming and its going. */
+/** Returns a name for what a change concerns, the same for its creation and its removal. */
 const describeSubject = (change: FleetChange): string => change.kind === 'target' ? `target ${change.entry.id}` : describeOtherSubject(change)
 
 const describeOtherSubject = (change: Exclude<FleetChange, { kind: 'target' }>): string => match(change)
--- a/packages/almondrelay-gateway/src/process/fleet/hostAnnouncer.ts
+++ b/packages/almondrelay-gateway/src/process/fleet/hostAnnouncer.ts
@@ -5,17 +5,18 @@
 import type { FleetCodec } from './fleetCodec.js'
 import type { HostEntry } from './hostEntry.js'
 
-/** Life of the entry without a renewal, in milliseconds: a host that is gone is named for no longer. */
+/** Lifetime of the entry without a renewal, in milliseconds: look-ups name a host that has exited for no longer than this. */
 const LEASE_MS = 4_000
-/** Milliseconds between renewals: two may be lost. */
+/** Milliseconds between renewals: two in a row may be lost before the lease expires. */
 const RENEW_MS = 1_300
 /**
- * Milliseconds before a failed call is made again, doubled with each failure up to the longest, spread by chance: in an
- * outage every host of the fleet calls so often, for nothing.
+ * Delay before a failed call is retried, in milliseconds: doubled with each failure up to the maximum, with jitter. During an
+ * outage every host of the fleet calls the store this often in vain.
  */
 const RETRY = { firstMs: 300, longestMs: 2_400 }
-/** Milliseconds for the last call at a stop, and how often it is made: all tries end before callers may connect no more. */
+/** Timeout of a call to release the lease at a stop, in milliseconds. */
 const END_TIMEOUT_MS = 600
+/** Maximum number of such calls: with the timeout above, all end before the host stops accepting callers. */
 const END_TRIES = 4
 
 interface AnnouncerParts {
@@ -26,17 +27,17 @@
   random: () => number
 }
 
-/** Keeps this host's entry in the store for as long as it serves. */
+/** Keeps this host's entry in the store for as long as the host serves. */
 export class HostAnnouncer {
-  /** Lease of the entry; undefined while the entry isn't known to stand. */
+  /** Lease of the entry; undefined while the entry is not known to exist. */
   private leaseId: number | undefined
-  /** The last lease: the write of an entry under it may have taken effect though its answer never came. */
+  /** The last lease granted: an entry may have been written under it even if the answer to the write was lost. */
   private grantedLease: number | undefined
   private failures = 0
 
   constructor (private readonly parts: AnnouncerParts) {}
 
-  /** Writes and renews the entry until the signal aborts, then takes it out. */
+  /** Writes and renews the entry until the signal aborts, then removes it. */
   async run (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const pauseMs = await this.keepEntry(signal)
@@ -45,7 +46,7 @@
     await this.removeEntry()
   }
 
-  /** The entry is gone though the lease may stand: it is written anew. */
+  /** Makes the next cycle write the entry again, as the entry was removed although its lease may still be valid. */
   renewEntry (): void {
     this.leaseId = undefined
   }
@@ -67,14 +68,14 @@
       log.report('entry of this host written', { leaseId })
       return RENEW_MS
     } catch (error) {
-      if (!signal.aborted) log.logError('entry of this host not kept up', error as Error)
+      if (!signal.aborted) log.logError('entry of this host not renewed or written', error as Error)
       this.failures += 1
       return computeRetryPause(RETRY, this.failures, random())
     }
   }
 
-  // One call alone may be lost or late on a busy machine; the entry then stands until its lease ends, and look-ups elsewhere name
-  // a host that is gone for four seconds.
+  // A single call may be lost or late on a busy machine. The entry would then stay until its lease expires, and look-ups in other
+  // regions would return a stopped host for four seconds.
   private async removeEntry (): Promise<void> {
     for (let left = END_TRIES; left > 0 && this.grantedLease !== undefined; left -= 1) await this.tryRemoveEntry(left)
   }
--- a/packages/almondrelay-gateway/src/process/fleet/hostEntry.ts
+++ b/packages/almondrelay-gateway/src/process/fleet/hostEntry.ts
@@ -1,13 +1,13 @@
-/** What an entry host says of itself in the platform's store. */
+/** Entry of a host in the platform's store. */
 export interface HostEntry {
   name: string
-  /** Tells two starts of the same host apart. */
+  /** Distinguishes the runs of the host's process. */
   incarnation: string
   availabilityZone: string
   region: string
   ip: string
-  /** Port on which it serves callers. */
+  /** Port on which the host serves callers. */
   callerPort: number
-  /** Port on which it hears its peers. */
+  /** UDP port on which the host receives reports from its peers. */
   peerPort: number
 }
--- a/packages/almondrelay-gateway/src/process/fleet/isNotableChange.ts
+++ b/packages/almondrelay-gateway/src/process/fleet/isNotableChange.ts
@@ -4,11 +4,11 @@
 import type { FleetState } from './fleetState.js'
 
 /**
- * Whether a host decides otherwise after a change than before it. Most changes are heartbeats of targets that tell only
- * how much longer they stay cold.
+ * Whether a change is notable: hosts decide differently after it than before. Most changes are not, as they are heartbeats
+ * of targets that only update how much longer the target stays cold.
  *
- * It is judged by what the store said before, not by what this host found out by itself: a watcher that had heard from a target's
- * own answer that it left, or was cold, would not hand the change on, and the others of its region would never know.
+ * The comparison uses the state that the store reported before, not what this host observed by itself. A watcher that had already
+ * learnt from a target's answer that the target left or was cold would otherwise not relay the change to its region.
  */
 export function isNotableChange (change: FleetChange, fleet: FleetState, now: number): boolean {
   if (change.kind === 'target') return isNotableEntry(change.entry, fleet, now)
--- a/packages/almondrelay-gateway/src/process/fleet/makeOwnEntry.ts
+++ b/packages/almondrelay-gateway/src/process/fleet/makeOwnEntry.ts
@@ -2,7 +2,7 @@
 import type { GatewaySettings } from '../settings/gatewaySettings.js'
 import type { HostEntry } from './hostEntry.js'
 
-/** What this host tells the others of itself, by its settings. */
+/** Builds the entry that this host publishes in the store from its settings. */
 export function makeOwnEntry (settings: GatewaySettings, incarnation: string): HostEntry {
   return {
     name: settings.host.name,
--- a/packages/almondrelay-gateway/src/process/fleet/readEverything.ts
+++ b/packages/almondrelay-gateway/src/process/fleet/readEverything.ts
@@ -9,16 +9,19 @@
 interface FullRead {
   items: StoreItem[]
   events: readonly StoreEvent[]
-  /** Up to which all is known with both. */
+  /** Revision up to which the items and the events together are complete. */
   revision: number
-  /** Keys of the product's own were left out. */
+  /** The product's own keys were not read to their end. */
   isCutOff: boolean
 }
 
 /**
- * Reads everything under a prefix, but for the product's own keys behind all others. Pages that may be seconds old and all
- * changes since are together as new as the store, for a tenth of the price: a fleet that restarts at once reads hundreds
- * of keys a host. Where the changes since are forgotten, current pages are read.
+ * Reads all keys under a prefix, except the product's own keys: these sort last, and reading stops at the
+ * first page that ends among them.
+ *
+ * Stale pages (up to seconds old) together with all changes since are as current as the store, at a tenth of the price of current
+ * pages; when a whole fleet restarts, each host reads hundreds of keys. If the store no longer holds the changes since,
+ * current pages are read instead.
  */
 export async function readEverything (store: RevisionStore, codec: FleetCodec, prefix: string, signal: AbortSignal): Promise<FullRead> {
   const read = await readPages(store, codec, prefix, PageAge.stale, signal)
@@ -32,12 +35,12 @@
   let revision = Infinity
   for (;;) {
     const page = await store.list(prefix, items.at(-1)?.key ?? '', age, signal)
-    // Stale pages may be of any order in time: changes are asked for since the oldest.
+    // Stale pages may be from different times, in any order: the changes are requested from the oldest revision on.
     revision = Math.min(revision, page.revision)
     items.push(...page.items)
     const isCutOff = page.isTruncated && items.at(-1)?.key.startsWith(codec.productPrefix) === true
     if (!page.isTruncated || isCutOff) return { items, events: [], revision, isCutOff }
-    // Asked again after the same key, the store would give the same page for ever.
-    if (page.items.length === 0) throw new Error('a page of the store says that more follow, and none of its items can be read')
+    // Listing after the same key again would return the same page for ever.
+    if (page.items.length === 0) throw new Error('listing of the store is truncated at a page without readable items')
   }
 }
--- a/packages/almondrelay-gateway/src/process/fleet/relayedChanges.ts
+++ b/packages/almondrelay-gateway/src/process/fleet/relayedChanges.ts
@@ -1,13 +1,13 @@
 import type { StoreEvent } from '../store/storeEvent.js'
 
-/** Changes of the store as a host that watches it hands them on to the others of its region. */
+/** Changes of the store that a watcher relays to the other hosts of its region. */
 export interface RelayedChanges {
-  /** A host that knows all changes up to this revision misses none before these. */
+  /** A host whose state includes this revision has missed no notable change before these. */
   afterRevision: number
-  /** With these, a host knows all changes up to this revision by which it decides otherwise than before. */
+  /** Revision up to which a host knows all notable changes once it has applied these. */
   upToRevision: number
-  /** In the order of their revisions. */
+  /** Changes in the order of their revisions. */
   events: readonly StoreEvent[]
-  /** Names of the hosts to which the receiver is to pass them on. */
+  /** Names of the hosts to which the receiver forwards the changes. */
   forwardTo: readonly string[]
 }
--- a/packages/almondrelay-gateway/src/process/fleet/repeatFilter.ts
+++ b/packages/almondrelay-gateway/src/process/fleet/repeatFilter.ts
@@ -1,18 +1,18 @@
 import { putBounded } from '../../request/putBounded.js'
 
-/** Keys whose last word is remembered: more than operators look at; whoever writes that many has them logged again. */
+/** Maximum number of keys whose last message is kept: more than operators read. Messages about dropped keys are logged again. */
 const MOST_REMEMBERED = 256
 
 /**
- * Lets each new word about a key through and holds its repeats back.
+ * Suppresses repeated messages about a key.
  *
- * Answers a writer that renews an unusable value with every heartbeat, and full reads that find it each time: one line
- * tells the operators as much as a thousand, and a thousand hide the others.
+ * Without it, a writer that renews an unusable value with every heartbeat, and each full read that finds the value again, would
+ * fill the log with the same line and hide other lines from the operators.
  */
 export class RepeatFilter {
   private readonly last = new Map<string, string>()
 
-  /** True where this differs from the last word about the key. */
+  /** Whether the message differs from the last one about the key. */
   accept (key: string, word: string): boolean {
     if (this.last.get(key) === word) return false
     putBounded(this.last, key, word, MOST_REMEMBERED)
--- a/packages/almondrelay-gateway/src/process/store/__tests__/storeKeyValues.test.ts
+++ b/packages/almondrelay-gateway/src/process/store/__tests__/storeKeyValues.test.ts
@@ -12,7 +12,7 @@
   return { store, log: new ChangeLog({ platform: values, store, clock: new SystemClock() }) }
 }
 
-test('values come back as they were written, long ones too, and only under their own prefix', async () => {
+test('values are read as they were written, also long ones, and are stored under the prefix', async () => {
   const store = new FakeRevisionStore()
   const values = new StoreKeyValues(store, 'use/')
   const long = 'x'.repeat(10_000)
@@ -24,7 +24,7 @@
   assert.ok(store.has('use/a'))
 })
 
-test('a put on another version than the one that stands changes nothing', async () => {
+test('a put or delete with an outdated version changes nothing', async () => {
   const values = new StoreKeyValues(new FakeRevisionStore(), 'use/')
   const first = await values.put('a', 'one', 0, never)
   assert.not((await values.put('a', 'two', 0, never)).stored)
@@ -33,9 +33,9 @@
   assert.is((await values.get('a', never))?.value, 'two')
 })
 
-// An operator's change is made, and the store's answer to it is lost. Told that it was refused, the operator would make
-// it again by hand, perhaps after another one's change. The change's key tells whose it is.
-test('a change whose answer was lost is told as accepted', async () => {
+// An operator's change is stored, and the store's answer is lost. If the change were reported as refused, the operator would
+// repeat it by hand, perhaps after another operator's change. The key of a revision holds the id of the write that created it.
+test('a change whose answer was lost is reported as accepted', async () => {
   const store = new FakeRevisionStore()
   store.losesAnswers = true
   const { log } = openLog(new StoreKeyValues(store, 'use/'))
@@ -43,9 +43,9 @@
   assert.equal(outcome, { outcome: 'accepted', writeId: 'write-akl', revision: 1 })
 })
 
-// Two hosts take a change each at the same moment. One key can be created only once: one host sees its change as
-// revision 1, the other's goes after it, and both hosts end with the same resources.
-test('changes of two hosts follow one another, and each host ends with both', async () => {
+// Two hosts accept a change each at the same moment. A key can be created only once: one change becomes revision 1, the other
+// one follows it, and both hosts end up with the same resources.
+test('concurrent changes of two hosts are ordered, and each host ends up with both', async () => {
   const store = new FakeRevisionStore()
   const hosts = [openLog(new StoreKeyValues(store, 'use/')), openLog(new StoreKeyValues(store, 'use/'))] as const
   const outcomes = await Promise.all(hosts.map(({ log }, index) => log.submit(makeRegion(['akl', 'wlg'][index] as string), never)))
@@ -54,7 +54,7 @@
   assert.equal(hosts.map(({ store: { current } }) => current.revision), [2, 2])
 })
 
-test('a store that is away is told as such', async () => {
+test('an unavailable store is reported as platform-unavailable', async () => {
   const store = new FakeRevisionStore()
   store.isDown = true
   const error: unknown = await new StoreKeyValues(store, 'use/').get('a', never).catch((caught: unknown) => caught)
--- a/packages/almondrelay-gateway/src/process/store/commitResult.ts
+++ b/packages/almondrelay-gateway/src/process/store/commitResult.ts
@@ -1,9 +1,9 @@
 import type { StoreItem } from './storeItem.js'
 
-/** What came of a transaction. */
+/** Outcome of a transaction. */
 export type CommitResult =
   | { kind: 'done', revision: number }
-  /** A key stands at another revision than expected; the expected keys that exist, as they stand. */
+  /** A key is at another revision than expected; `items` are the current items of the expected keys that exist. */
   | { kind: 'conflict', items: StoreItem[] }
-  /** A lease that it names has ended. */
+  /** A lease that the transaction names has expired or was released. */
   | { kind: 'lease-ended' }
--- a/packages/almondrelay-gateway/src/process/store/pageAge.ts
+++ b/packages/almondrelay-gateway/src/process/store/pageAge.ts
@@ -1,8 +1,8 @@
-/** How old a page of a listing may be. */
+/** How old the data of a page of a listing may be. */
 const PageAge = {
-  /** As new as any answered write. */
+  /** Includes every write that was answered before. */
   current: 'current',
-  /** Of a moment some seconds ago, whose revision the page states; a tenth of the price. */
+  /** May be a few seconds old, as of the revision that the page states; costs a tenth of a current page. */
   stale: 'stale'
 } as const
 type PageAge = typeof PageAge[keyof typeof PageAge]
--- a/packages/almondrelay-gateway/src/process/store/revisionStore.ts
+++ b/packages/almondrelay-gateway/src/process/store/revisionStore.ts
@@ -6,20 +6,20 @@
 import type { WatchResult } from './watchResult.js'
 
 /**
- * The platform's key-value store, in which a single counter of revisions rises with each change. Every method
- * rejects with a StoreError, whose kind says whether the call may have taken effect.
+ * The platform's key-value store, with a single revision counter that increases with each change. If a call fails, every
+ * method rejects with a StoreError, whose kind says whether the call may have taken effect.
  */
 export abstract class RevisionStore {
-  /** Undefined where the key doesn't exist; as new as any answered write. */
+  /** Returns the current item of a key, every write answered before included; undefined if the key doesn't exist. */
   abstract get (key: string, signal: AbortSignal): Promise<StoreItem | undefined>
-  /** Keys under a prefix, in order, after the key `after`, as `age` says. */
+  /** Lists a page of the keys under a prefix, in order, starting after the key `after`; `age` says how old the page may be. */
   abstract list (prefix: string, after: string, age: PageAge, signal: AbortSignal): Promise<StorePage>
-  /** Waits up to `waitMs` for changes under a prefix after a revision. */
+  /** Waits up to `waitMs` milliseconds for changes under a prefix after a revision. */
   abstract watch (prefix: string, afterRevision: number, waitMs: number, signal: AbortSignal): Promise<WatchResult>
   abstract commit (transaction: StoreTransaction, signal: AbortSignal): Promise<CommitResult>
   /** Creates a lease and returns its id. */
   abstract grantLease (ttlMs: number, signal: AbortSignal): Promise<number>
-  /** False where the lease has ended. */
+  /** Returns false if the lease has expired or was released. */
   abstract renewLease (leaseId: number, signal: AbortSignal): Promise<boolean>
   abstract releaseLease (leaseId: number, signal: AbortSignal): Promise<void>
 }
--- a/packages/almondrelay-gateway/src/process/store/storeErrorKind.ts
+++ b/packages/almondrelay-gateway/src/process/store/storeErrorKind.ts
@@ -1,10 +1,10 @@
-/** What a failed call to the store means for its caller. */
+/** What is known about the effect of a failed call to the store. */
 const StoreErrorKind = {
-  /** The store did nothing; the call may be made again. */
+  /** The store did nothing; the call may be retried. */
   refused: 'refused',
-  /** No answer came: the call may have taken effect, or may still do so. */
+  /** No answer arrived: the call may have taken effect, or may still do so. */
   unknown: 'unknown',
-  /** The store holds the call itself to be wrong; making it again changes nothing. */
+  /** The store rejected the call as invalid, or its answer was not understood; a retry does not help. */
   invalid: 'invalid'
 } as const
 
--- a/packages/almondrelay-gateway/src/process/store/storeEvent.ts
+++ b/packages/almondrelay-gateway/src/process/store/storeEvent.ts
@@ -1,6 +1,6 @@
 import type { StoreItem } from './storeItem.js'
 
-/** A change of one key. */
+/** Change of one key of the store. */
 export type StoreEvent =
   | { kind: 'written', item: StoreItem }
   | { kind: 'deleted', key: string, revision: number }
--- a/packages/almondrelay-gateway/src/process/store/storeHealth.ts
+++ b/packages/almondrelay-gateway/src/process/store/storeHealth.ts
@@ -1,14 +1,14 @@
-/** Milliseconds after the store's return in which entries that lapsed meanwhile may still come back. */
+/** Milliseconds after the store's recovery within which entries that expired during the outage may be written again. */
 const RETURN_MS = 2_000
 
-/** Whether the store has answered lately. Times are monotonic milliseconds. */
+/** Tracks outages of the store, by the results of calls to it. Times are monotonic milliseconds. */
 export class StoreHealth {
-  /** Called with the first answer after a failure. */
+  /** Called at the first answer after a failure. */
   handleReturn: () => void = () => undefined
   private failingSince: number | undefined
   private returnedAt = -Infinity
 
-  /** True where this is the first answer after a failure. */
+  /** Records an answer of the store; returns whether it is the first after a failure. */
   observeAnswer (now: number): boolean {
     if (this.failingSince === undefined) return false
     this.failingSince = undefined
@@ -17,14 +17,14 @@
     return true
   }
 
-  /** True where this is the first failure after an answer. */
+  /** Records a failed call; returns whether it is the first failure after an answer. */
   observeFailure (now: number): boolean {
     if (this.failingSince !== undefined) return false
     this.failingSince = now
     return true
   }
 
-  /** Until when an entry that lapsed while the store was away may come back. */
+  /** Returns the time until which an entry that expired during an outage may be written again. */
   findLapseEnd (now: number): number {
     const hasReturned = this.failingSince === undefined && now - this.returnedAt < RETURN_MS
     return (hasReturned ? this.returnedAt : now) + RETURN_MS
--- a/packages/almondrelay-gateway/src/process/store/storeKeyValues.ts
+++ b/packages/almondrelay-gateway/src/process/store/storeKeyValues.ts
@@ -5,9 +5,9 @@
 import { storedText } from './storedText.js'
 import type { StoreItem } from './storeItem.js'
 
-/** The product's own keys in the platform's store: a key's version is the revision of its last change. */
+/** Key-value store for the product's own keys, on the platform's store: a key's version is the revision of its last change. */
 export class StoreKeyValues extends KeyValueStore {
-  /** @param prefix begins every key of the product's own */
+  /** @param prefix prefix of all of the product's own keys in the platform's store */
   constructor (private readonly store: RevisionStore, private readonly prefix: string) {
     super()
   }
--- a/packages/almondrelay-gateway/src/process/store/storePage.ts
+++ b/packages/almondrelay-gateway/src/process/store/storePage.ts
@@ -1,10 +1,10 @@
 import type { StoreItem } from './storeItem.js'
 
-/** A part of a listing. Pages of one listing are no snapshot: keys may change between them. */
+/** Page of a listing. The pages of a listing are not a snapshot: keys may change between them. */
 export interface StorePage {
   items: StoreItem[]
-  /** Revision of the store that the page shows. */
+  /** Revision of the store that the page represents. */
   revision: number
-  /** More keys follow after the last one. */
+  /** More keys follow after those of this page. */
   isTruncated: boolean
 }
--- a/packages/almondrelay-gateway/src/process/store/storeTransaction.ts
+++ b/packages/almondrelay-gateway/src/process/store/storeTransaction.ts
@@ -1,13 +1,13 @@
 interface StoreWrite {
   key: string
   value: Buffer
-  /** The key vanishes with this lease; 0 for none. */
+  /** The key is deleted when this lease expires or is released; 0 for no lease. */
   leaseId: number
 }
 
-/** Changes that the store makes all together or not at all. */
+/** Changes that the store makes atomically. */
 export interface StoreTransaction {
-  /** Revisions at which keys must stand; 0 for a key that must not exist. */
+  /** Revisions at which keys must be for the transaction to succeed; 0 for a key that must not exist. */
   expected: ReadonlyArray<{ key: string, revision: number }>
   writes: readonly StoreWrite[]
   deletes: readonly string[]
--- a/packages/almondrelay-gateway/src/process/store/watchResult.ts
+++ b/packages/almondrelay-gateway/src/process/store/watchResult.ts
@@ -1,8 +1,8 @@
 import type { StoreEvent } from './storeEvent.js'
 
-/** What a watch brought. */
+/** Result of a watch call. */
 export type WatchResult =
-  /** Changes in order, none where the wait passed without any. Go on from `revision`. */
+  /** Changes in order, empty if the watch timed out without any. The next watch continues from `revision`. */
   | { kind: 'events', events: StoreEvent[], revision: number }
-  /** The store no longer holds the changes since then: what is known has to be read anew. */
+  /** The store no longer holds the changes since the given revision: all keys have to be read again. */
   | { kind: 'history-gone' }
