--- a/packages/almondrelay-gateway/src/process/__tests__/suspendedClock.test.ts
+++ b/packages/almondrelay-gateway/src/process/__tests__/suspendedClock.test.ts
@@ -4,7 +4,7 @@
 
 const test = suite('SuspendedClock')
 
-/** A machine whose clocks the test moves. */
+/** Clocks of a simulated machine, advanced by the test. */
 class MachineClocks {
   steady = 5_000
   wall = 1_800_000_000_000
@@ -24,9 +24,9 @@
   }
 }
 
-// A host is suspended for eight seconds in the middle of its requests. By its steady clock no time has passed: it would send
-// them on for callers who have left, by what it knew of targets eight seconds ago.
-test('the first reading after a suspension counts it', () => {
+// Guards against a host that resumes after a suspension of eight seconds and, as its monotonic clock has stood still, forwards
+// requests of callers that have left, based on the state of targets of eight seconds ago.
+test('the first reading after a suspension includes its length', () => {
   const machine = new MachineClocks()
   const before = machine.clock.getNow()
   machine.run(100)
@@ -40,9 +40,9 @@
   assert.equal(machine.gaps, [8_000, 2_000])
 })
 
-// Somebody sets the time of day forward by a minute. Taken for a suspension, every request would be past its deadline and every
-// peer silent.
-test('a time of day that is set moves nothing', () => {
+// Guards against an adjustment of the wall clock that is taken for a suspension: set forward by a minute, it would put every
+// request past its deadline and make every peer appear silent.
+test('setting the wall clock does not change the time', () => {
   const machine = new MachineClocks()
   const before = machine.clock.getNow()
   machine.wall += 60_000
@@ -54,7 +54,7 @@
   assert.equal(machine.gaps, [])
 })
 
-test('an uptime that says nothing of this machine moves nothing', () => {
+test('an uptime that jumps independently of the machine does not change the time', () => {
   const machine = new MachineClocks()
   const before = machine.clock.getNow()
   machine.uptime += 1_000_000
@@ -64,7 +64,7 @@
   assert.equal(machine.gaps, [])
 })
 
-// The time of day is set while the machine stands still: neither clock alone says how long.
+// The wall clock is set while the machine is suspended, so that it alone does not show the length of the suspension.
 test('time never runs backwards', () => {
   const machine = new MachineClocks()
   let last = machine.clock.getNow()
--- a/packages/almondrelay-gateway/src/process/gateway.ts
+++ b/packages/almondrelay-gateway/src/process/gateway.ts
@@ -37,19 +37,22 @@
 import { StoreKeyValues } from './store/storeKeyValues.js'
 import type { StoreHealth } from './store/storeHealth.js'
 
-/** Milliseconds between checks for connections to targets that have been unused for too long. */
+/** Milliseconds between checks for connections to targets that have been idle for too long. */
 const IDLE_CHECK_MS = 1_000
-/** Milliseconds after the signal in which callers with older look-up answers may still connect: their life and a look-up. */
+/**
+ * Milliseconds after the stop signal during which the caller port still accepts connections, for callers that use an earlier
+ * look-up answer: the time to live of such an answer plus the time of a look-up.
+ */
 const ACCEPT_MS = 3_000
-/** Milliseconds of the grace that are kept for the last answers to be written before the process is ended by force. */
+/** Milliseconds of the grace period that are reserved for writing the last answers before the process is killed. */
 const GRACE_MARGIN_MS = 300
-/** Milliseconds for the last pages of the account, of the grace that is left. */
+/** Maximum milliseconds, within the remaining grace period, for writing the last account pages at a planned stop. */
 const LAST_PAGES_MS = 1_000
-/** Bytes of answers held at once; an answer is there twice while its parts are joined. */
+/** Maximum bytes of answers held in memory at once; an answer takes twice its size while its chunks are concatenated. */
 const MOST_ANSWER_BYTES = 48 * 1024 * 1024
-/** Waits of all tasks at once that end with the process; above, the runtime warns of a leak. */
+/** Abort listeners that the tasks may register at the same time; above this number Node.js warns of a listener leak. */
 const MOST_WAITS = 50
-/** Milliseconds between looks at what is still running at a stop. */
+/** Milliseconds between checks for unanswered requests during a planned stop. */
 const STOP_CHECK_MS = 50
 
 interface GatewayParts {
@@ -57,7 +60,7 @@
   adapter: GatewayAdapter
   health: StoreHealth
   log: EventLog
-  /** For what serves operators, where lines are few. */
+  /** Logger without a rate limit, for the operators' API, which writes few lines. */
   logger: Logger
   metrics: GatewayMetrics
   incarnation: string
@@ -66,7 +69,7 @@
   random: () => number
 }
 
-/** An entry host: its state, its ports and the tasks that keep it up to date. */
+/** An entry host: its state, its ports and the background tasks that keep its state up to date. */
 export class Gateway {
   private readonly own: HostEntry
   private readonly fleet: FleetState
@@ -110,7 +113,7 @@
     this.forward = new ForwardState({ settings, fleet: this.fleet, peers: this.view, codec: adapter.targets, memory: this.memory, getNow, countOpened: (region) => { metrics.countConnection(region) }, observeFailure: (target, failure, isUnconnected) => { this.observeFailure(target, failure, isUnconnected) }, startRuntime: (runtime) => { this.planner.start(runtime, getNow()) }, signal: this.owner.signal })
     const regions = [...new Set(Object.values(settings.availabilityZones))]
     this.planner = new RegionPlanner({ ownRegion: this.own.region, regions, forward: this.forward, view: this.view, getNow })
-    const logError = (error: Error): void => { log.logError('port', error) }
+    const logError = (error: Error): void => { log.logError('error on a port of this host', error) }
     this.socket = new PeerSocket(logError)
     this.exchange = new PeerExchange({ own: this.own, fleet: this.fleet, forward: this.forward, view: this.view, socket: this.socket, getNow, isLeaving, getDeclaredRevision: () => this.desk.revision, hearRevision: (revision, notableRevision, now) => { this.follower.hearRevision(revision, notableRevision, now) }, acceptRelayed: (changes) => { this.follower.acceptRelayed(changes) }, hearWatcher: (report, now) => { this.follower.hearWatcher(report.storeRevision, report.notableRevision, report.storeAgeMs, now) } })
     this.allowances = new Allowances({ availabilityZone: this.own.availabilityZone, windowMs: settings.bounds.allowanceWindow, startedAt: getNow(), countHosts: () => this.view.countPossibleHosts(getNow()), isSumming: (now) => this.view.isSumming(now) })
@@ -159,7 +162,7 @@
     })
   }
 
-  /** Serves until the signal aborts, then makes a planned stop. Resolves with the number of requests that it cut off. */
+  /** Serves until the signal aborts, then performs a planned stop. Resolves with the number of requests left unanswered. */
   async run (signal: AbortSignal): Promise<number> {
     const { owner } = this
     const leaving = new AbortController()
@@ -177,7 +180,12 @@
     return unfinished
   }
 
-  /** The machine was suspended: requests whose time has passed meanwhile end, and the store is asked what was missed. */
+  /**
+   * Handles a suspension of the machine: ends the requests whose deadline has passed in the meantime and reads the changes
+   * that were missed from the store.
+   *
+   * @param gapMs length of the suspension in milliseconds
+   */
   handleGap (gapMs: number): void {
     this.parts.log.report('host was suspended', { gapMs: Math.round(gapMs) })
     this.handler.expireRequests()
@@ -186,7 +194,7 @@
 
   private async openPorts (signal: AbortSignal): Promise<void> {
     const { settings, metrics, log } = this.parts
-    const logError = (error: Error): void => { log.logError('port', error) }
+    const logError = (error: Error): void => { log.logError('error on a port of this host', error) }
     const callers = splitAddress(settings.listen.callers)
     const readiness = splitAddress(settings.listen.readiness)
     const lookups = splitAddress(settings.listen.lookups)
@@ -208,7 +216,7 @@
     if (message?.kind === 'suspects') this.suspectExchange.handleReport(message.report, ip)
   }
 
-  // An address that refuses connections, and at which none of this host's stands any more, is that of a process that has ended.
+  // The process of a target has exited if its address refuses connections and this host has no open connection to it.
   private observeFailure (target: TargetState, failure: ConnectFailure, isUnconnected: boolean): void {
     this.parts.metrics.countConnectFailure(target.entry.region, failure)
     if (failure === ConnectFailure.refused && isUnconnected) this.quarantine.observeTargetEnd(target, this.parts.getNow())
@@ -225,7 +233,8 @@
     }
   }
 
-  // Callers hold look-up answers for some seconds: they still come after the signal and are served, each told to go elsewhere.
+  // Callers cache look-up answers for some seconds, so requests still arrive after the stop signal. They are served, and each
+  // answer closes its connection, so that the caller reconnects to another host.
   private async stop (leaving: AbortController): Promise<number> {
     const { settings, getNow, log } = this.parts
     const stoppedAt = getNow()
--- a/packages/almondrelay-gateway/src/process/gatewayAdapter.ts
+++ b/packages/almondrelay-gateway/src/process/gatewayAdapter.ts
@@ -4,7 +4,7 @@
 import type { LookupCodec } from './lookup/lookupCodec.js'
 import type { RevisionStore } from './store/revisionStore.js'
 
-/** Everything that speaks a platform's own words. */
+/** The adapter to a platform: its store and the codecs of its keys, headers and messages. */
 export interface GatewayAdapter {
   store: RevisionStore
   fleet: FleetCodec
--- a/packages/almondrelay-gateway/src/process/observe/accountKeeper.ts
+++ b/packages/almondrelay-gateway/src/process/observe/accountKeeper.ts
@@ -15,7 +15,7 @@
   random: () => number
 }
 
-/** Counts every final answer by who asked, what served and what came of it, and writes the counts to the store each minute. */
+/** Counts final answers by caller, service, place and outcome, and writes the counts to the store each minute as account pages. */
 export class AccountKeeper {
   private readonly ledger: AccountLedger
   private readonly writer: AccountWriter
@@ -36,12 +36,16 @@
     await this.writer.run(signal)
   }
 
-  /** Writes what is left within a time in milliseconds, as at a planned stop; returns the pages that could not be written. */
+  /**
+   * Writes the remaining pages, as at a planned stop; returns the number of pages that could not be written.
+   *
+   * @param limitMs maximum duration in milliseconds
+   */
   async finish (limitMs: number): Promise<number> {
     return await this.writer.finish(limitMs)
   }
 
-  /** Counts a request that was refused before any service was looked up for it. */
+  /** Counts a request that was refused before its service was determined. */
   recordRefusal (caller: string, reason: RefusalReason): void {
     const { own, clock } = this.parts
     const { region, availabilityZone } = own
@@ -65,7 +69,7 @@
   }
 }
 
-// Where callers don't identify themselves, the host name that they asked for tells whose product it was.
+// A caller without an identity is counted under the host name of its route.
 const describeCaller = ({ identity, route }: CallerRequest): string => findOrganisation(identity)?.name ?? route.hostName
 
 const describeOutcome = (answer: FinalAnswer): Pick<AccountEntry, 'outcome' | 'reason'> => match(answer)
--- a/packages/almondrelay-gateway/src/process/observe/eventLog.ts
+++ b/packages/almondrelay-gateway/src/process/observe/eventLog.ts
@@ -1,10 +1,10 @@
 import type Logger from 'bunyan'
 
-/** Lines a second at most; a host at its full rate of requests writes about a third of that. */
+/** Maximum log lines per second; a host at its full request rate writes about a third of that. */
 const LINES_PER_SECOND = 600
 const SECOND_MS = 1_000
 
-/** Structured log lines, bounded in number: under overload lines are dropped and counted, never waited for. */
+/** Structured log with a limited rate: under overload, lines are dropped and counted instead of delaying requests. */
 export class EventLog {
   private secondStart = 0
   private lines = 0
@@ -12,20 +12,22 @@
 
   constructor (private readonly logger: Logger, private readonly getNow: () => number) {}
 
-  /** What touches one request or one belief of the host. */
+  /** Logs an event of a single request, or a change of the host's state, within the rate limit. */
   record (event: string, fields: object): void {
     if (this.use()) this.logger.info(fields, event)
   }
 
-  /** What an operator should see; not bounded, as it is rare. */
+  /** Logs an event for operators; outside the rate limit, because such events are rare. */
   report (event: string, fields: object): void {
     this.logger.warn(fields, event)
   }
 
+  /** Logs an error within the rate limit. */
   logError (event: string, error: Error): void {
     if (this.use()) this.logger.error({ err: error }, event)
   }
 
+  /** Counts a line; returns whether it is within the rate limit. */
   private use (): boolean {
     const now = this.getNow()
     if (now - this.secondStart >= SECOND_MS) {
--- a/packages/almondrelay-gateway/src/process/observe/gatewayMetrics.ts
+++ b/packages/almondrelay-gateway/src/process/observe/gatewayMetrics.ts
@@ -1,17 +1,17 @@
 import { Counter, Gauge, Histogram, Registry } from 'prom-client'
 
-/** Upper bounds in seconds: from a warm answer nearby to the longest time limit. */
+/** Histogram buckets in seconds: from the answer of a warm target nearby to the longest timeout of a route. */
 const LATENCY_BOUNDS = [0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2, 3]
 
-/** Upper bounds in seconds of the delay of a host's own work; from 0.15 s on requests are shed. */
+/** Histogram buckets in seconds for the delay with which the host does its own work; from 0.15 s on, requests are shed. */
 const DELAY_BOUNDS = [0.01, 0.05, 0.15, 0.5, 1.5]
 
-/** Organisations with counters of their own, the first that come: each is a line of the page a host and outcome. */
+/** Maximum number of organisations with their own label value, first come, first served: each adds a time series per outcome and host. */
 const MOST_ORGANISATIONS = 200
-/** Label under which the others are counted together. */
+/** Label value under which all further organisations are counted together. */
 const OTHER_ORGANISATIONS = 'others'
 
-/** Counters and histograms of one host, served as a text page. */
+/** Metrics of one host, rendered in the Prometheus text format. */
 export class GatewayMetrics {
   private readonly registry = new Registry()
   private readonly answers = new Counter({ name: 'almondrelay_answers_total', help: 'Answers to callers', labelNames: ['service', 'outcome'], registers: [this.registry] })
@@ -30,7 +30,7 @@
     this.latency.observe({ service }, durationMs / 1_000)
   }
 
-  /** @param outcome kind of the final answer, or the reason of a refusal before any target was looked for */
+  /** @param outcome kind of the final answer, or the reason of a refusal that came before a target was chosen */
   countOrganisation (organisation: string, outcome: string): void {
     if (this.named.size < MOST_ORGANISATIONS) this.named.add(organisation)
     this.organisations.inc({ organisation: this.named.has(organisation) ? organisation : OTHER_ORGANISATIONS, outcome })
--- a/packages/almondrelay-gateway/src/process/observe/stdoutWriter.ts
+++ b/packages/almondrelay-gateway/src/process/observe/stdoutWriter.ts
@@ -1,18 +1,18 @@
 import { write } from 'node:fs'
 
 const STDOUT = 1
-/** Bytes that may wait for a reader of the log; more is dropped and counted. */
+/** Maximum bytes queued for a slow reader of the log; further output is dropped and counted. */
 const MOST_WAITING_BYTES = 1024 * 1024
 
 /**
- * Writes to standard output without ever blocking: a pipe whose reader has stalled would stop the whole
- * process in a plain write. Writes go out one after the other from a thread of the pool.
+ * Writes to standard output without blocking: a synchronous write to a pipe whose reader has stalled would stop the
+ * whole process. Writes run one at a time on a thread of the libuv pool.
  */
 export class StdoutWriter {
   private readonly waiting: Buffer[] = []
   private waitingBytes = 0
   private isWriting = false
-  /** Bytes given up because the reader was too slow. */
+  /** Bytes dropped because the reader was too slow or a write failed. */
   droppedBytes = 0
 
   write (chunk: Buffer): void {
--- a/packages/almondrelay-gateway/src/process/operators/addQuarantineRoutes.ts
+++ b/packages/almondrelay-gateway/src/process/operators/addQuarantineRoutes.ts
@@ -2,7 +2,7 @@
 import type { Quarantine } from '../quarantine/quarantine.js'
 import type { Suspect } from '../quarantine/suspect.js'
 
-/** Calls that show the requests under which targets ended, and that end the quarantine of one by hand. */
+/** Adds routes that list the requests that were running when targets exited, and that release a request from quarantine. */
 export function addQuarantineRoutes (app: Hono, quarantine: Quarantine, getNow: () => number): void {
   app.get('/v1/quarantine', (context) => context.json({ requests: quarantine.list().map((suspect) => describeSuspect(suspect, getNow())) }))
   app.delete('/v1/quarantine/:fingerprint', (context) => quarantine.release(context.req.param('fingerprint'), getNow())
--- a/packages/almondrelay-gateway/src/process/operators/listGivenResources.ts
+++ b/packages/almondrelay-gateway/src/process/operators/listGivenResources.ts
@@ -1,14 +1,14 @@
 import type { Resource } from 'almondrelay'
 import type { FleetState } from '../fleet/fleetState.js'
 
-/** Revision of a resource that no change of ours made: it is in force wherever a host serves. */
+/** Revision of resources that the platform declares: no change of an operator made them, and they are in force on every host. */
 const GIVEN_REVISION = 0
-/** What the platform doesn't state of a region: nothing is limited by it here. */
+/** The platform states no limit on the requests in flight of a region, so this value limits nothing. */
 const UNLIMITED = 10_000_000
 
 /**
- * Regions and services as the platform declares them, in the form of the operators' own resources, so that policies,
- * drains and caps can name them and `get` shows them.
+ * Returns the regions and services that the platform declares, in the form of operators' resources, so that policies,
+ * drains and caps can refer to them and `get` shows them.
  *
  * @param availabilityZones region of each availability zone
  */
--- a/packages/almondrelay-gateway/src/process/operators/listMembers.ts
+++ b/packages/almondrelay-gateway/src/process/operators/listMembers.ts
@@ -3,7 +3,7 @@
 import type { HostEntry } from '../fleet/hostEntry.js'
 import type { PeerView } from '../peers/peerView.js'
 
-/** Milliseconds of silence after which a host counts as unreachable: the word of another region comes every 2 s. */
+/** Milliseconds without a report after which a host counts as unreachable; reports from other regions arrive every 2 s. */
 const SILENCE_MS = 5_000
 
 interface MemberParts {
@@ -14,7 +14,7 @@
   isLeaving: boolean
 }
 
-/** Every host of the fleet with the revision of the operators' resources in force there, as last heard. */
+/** Lists the hosts of the fleet, each with the revision of the operators' resources in force there by its last received report. */
 export function listMembers ({ own, fleet, view, ownRevision, isLeaving }: MemberParts, now: number): Member[] {
   return fleet.listHosts().map((entry) => {
     const word = entry.name === own.name ? { heardAt: now, isLeaving, declaredRevision: ownRevision } : view.findWord(entry)
--- a/packages/almondrelay-gateway/src/process/operators/operatorDesk.ts
+++ b/packages/almondrelay-gateway/src/process/operators/operatorDesk.ts
@@ -3,8 +3,8 @@
 import type { OperatorService } from './operatorService.js'
 
 /**
- * The way to the operators' resources. What serves them is loaded when it is first needed: a host that restarts is
- * charged all of its start, callers wait for it, and most hosts never get an operator's call.
+ * Loads the service of the operators' API when it is first needed. Loading it at every start would use processor time while
+ * callers wait for the host to restart, and most hosts never receive a call of an operator.
  */
 export class OperatorDesk {
   private service: OperatorService | undefined
@@ -12,7 +12,7 @@
 
   constructor (private readonly parts: OperatorParts, private readonly signal: AbortSignal) {}
 
-  /** Revision of the operators' resources in force; 0 before any is known. */
+  /** Revision of the operators' resources in force; 0 until the first is known. */
   get revision (): number {
     return this.service?.revision ?? 0
   }
@@ -25,14 +25,14 @@
     this.run(async (service) => { await service.acceptChange(revision, body) })
   }
 
-  /** Reads the resources again, as after a full read of the store that shows that there may be some. */
+  /** Reads the resources from the store, as after a full read of the fleet that stopped at the product's own keys. */
   refresh (): void {
     this.run(async (service) => { await service.repair() })
   }
 
   private run (use: (service: OperatorService) => Promise<void>): void {
     this.load().then(use).catch((error: unknown) => {
-      if (!this.signal.aborted) this.parts.logger.error({ err: error as Error }, 'call to the operators\' resources failed')
+      if (!this.signal.aborted) this.parts.logger.error({ err: error as Error }, 'operators\' API call failed')
     })
   }
 
--- a/packages/almondrelay-gateway/src/process/operators/operatorParts.ts
+++ b/packages/almondrelay-gateway/src/process/operators/operatorParts.ts
@@ -6,7 +6,7 @@
 import type { Quarantine } from '../quarantine/quarantine.js'
 import type { PeerView } from '../peers/peerView.js'
 
-/** What serves operators on a host. */
+/** Dependencies of the operators' API on a host. */
 export interface OperatorParts {
   own: HostEntry
   availabilityZones: Readonly<Record<string, string>>
@@ -14,7 +14,7 @@
   view: PeerView
   forward: ForwardState
   quarantine: Quarantine
-  /** The product's own keys. */
+  /** Key-value store limited to the product's own keys. */
   values: KeyValueStore
   clock: Clock
   logger: Logger
--- a/packages/almondrelay-gateway/src/process/operators/operatorService.ts
+++ b/packages/almondrelay-gateway/src/process/operators/operatorService.ts
@@ -9,7 +9,10 @@
 import { listMembers } from './listMembers.js'
 import type { OperatorParts } from './operatorParts.js'
 
-/** The operators' resources on this host: what they declared, its effect on requests, and the calls that read and change it. */
+/**
+ * The operators' resources on this host: stores them, applies them to the steering of requests and serves the API that reads
+ * and changes them.
+ */
 export class OperatorService {
   private readonly store: ConfigurationStore
   private readonly listener: ReturnType<typeof getRequestListener>
@@ -20,7 +23,7 @@
     this.store = new ConfigurationStore(() => listGivenResources(fleet, availabilityZones))
     this.store.subscribe((configuration) => {
       forward.steering = new DeclaredSteering(configuration, own.region)
-      logger.warn({ revision: configuration.revision }, 'resources of the operators in force')
+      logger.warn({ revision: configuration.revision }, 'operators\' resources in force')
     }, signal)
     const changeLog = new ChangeLog({ platform: values, store: this.store, clock })
     void runSnapshotWriter({ platform: values, store: this.store, changeLog, log: logger }, signal)
@@ -48,7 +51,7 @@
     await this.listener(request, response)
   }
 
-  /** Takes in a change that the store's watch has brought; asks for what is missing before it. */
+  /** Applies a change received from the watch of the store; reads the changes before it from the store if any are missing. */
   async acceptChange (revision: number, body: Buffer): Promise<void> {
     if (revision <= this.revision) return
     const text = await storedText.decode(body)
@@ -56,7 +59,7 @@
     else await this.repair()
   }
 
-  /** Brings the resources up to the newest change; one call at a time, as many may ask at once. */
+  /** Updates the resources to the newest change in the store; concurrent calls share one run. */
   async repair (): Promise<void> {
     this.repairing ??= this.repairOnce().finally(() => { this.repairing = undefined })
     await this.repairing
@@ -68,7 +71,7 @@
       await repairFromPlatform(values, this.store, this.signal)
       this.store.markReady()
     } catch (error) {
-      if (!this.signal.aborted) logger.warn({ err: error as Error, revision: this.revision }, 'resources of the operators not read; those before stay in force')
+      if (!this.signal.aborted) logger.warn({ err: error as Error, revision: this.revision }, 'could not read the operators\' resources; the previous ones stay in force')
     }
   }
 
--- a/packages/almondrelay-gateway/src/process/settings/duration.ts
+++ b/packages/almondrelay-gateway/src/process/settings/duration.ts
@@ -2,6 +2,6 @@
 
 const MS_PER_SECOND = 1_000
 
-/** Text such as `1500ms` or `2.5s`, read into milliseconds. */
+/** A duration such as `1500ms` or `2.5s`, parsed into milliseconds. */
 export const duration = z.string().regex(/^\d+(\.\d+)?(ms|s)$/, 'write a number and its unit, "ms" or "s", such as "1500ms"')
   .transform((text) => text.endsWith('ms') ? Number(text.slice(0, -2)) : Number(text.slice(0, -1)) * MS_PER_SECOND)
--- a/packages/almondrelay-gateway/src/process/settings/gatewaySettings.ts
+++ b/packages/almondrelay-gateway/src/process/settings/gatewaySettings.ts
@@ -5,10 +5,10 @@
 
 const port = z.int().min(1).max(65_535)
 
-/** Milliseconds; platforms without allowances name no window. */
+/** Milliseconds; used when the settings name no window, as on platforms without allowances. */
 const PLAIN_ALLOWANCE_WINDOW_MS = 5_000
 
-/** Settings of a host; unknown names are ignored, as a platform may add some. All times are milliseconds once read. */
+/** Settings of a host. Unknown names are ignored, because the platform may add some. Durations are parsed into milliseconds. */
 const GatewaySettings = z.object({
   host: z.object({
     name: z.string().min(1),
@@ -21,7 +21,7 @@
     readiness: address,
     lookups: address
   }),
-  /** First and last port that hosts may use among themselves; operators call the last. */
+  /** First and last port of the range for traffic among hosts: hosts use the first, operators call the last. */
   peerPorts: z.tuple([port, port]).refine(([first, last]) => first !== last, 'give two ports: the first for hosts, the last for operators'),
   /** Region of each availability zone. */
   availabilityZones: z.record(z.string(), z.string()),
@@ -32,24 +32,27 @@
     shortestLease: duration
   }),
   bounds: z.object({
-    /** Time from the signal to stop until the process is ended by force. */
+    /** Time from the stop signal until the process is killed. */
     stopGrace: duration,
-    /** Repeats for each request, and besides, that all hosts may send to a service within the window. */
+    /**
+     * Retries that all hosts together may send to a service within `retryWindow`: `retryRatio` for each request, plus
+     * `retryExtra`.
+     */
     retryRatio: z.number().min(0),
     retryExtra: z.number().min(0),
     retryWindow: duration,
-    /** Longest time for which callers may keep a look-up answer. */
+    /** Maximum time for which callers may cache a look-up answer. */
     longestLookupLife: duration,
-    /** Part of a region's requests that may change the region in which they run, from one window of two seconds to the next. */
+    /** Maximum share of a region's requests that may move to another region from one two-second window to the next. */
     shiftPart: z.number().min(0).max(1),
-    /** Time within which a host must know that a target takes no new requests. */
+    /** Time within which every host must know that a target accepts no new requests. */
     leavingInForce: duration,
-    /** Time within which a host must know of a new configuration. */
+    /** Time within which every host must know a new configuration. */
     configurationInForce: duration,
-    /** Window in which an organisation may have its rate and its burst. */
+    /** Window over which the allowance of an organisation, its rate and its burst, is counted. */
     allowanceWindow: duration.default(PLAIN_ALLOWANCE_WINDOW_MS)
   }),
-  /** Port and path of the text page of metrics. */
+  /** Port and path at which the metrics are served in the Prometheus text format. */
   metrics: z.object({ port: z.int().min(1).max(65_535), path: z.string().startsWith('/') }),
   log: z.object({ level: z.enum(['debug', 'info', 'warn', 'error']) })
 })
--- a/packages/almondrelay-gateway/src/process/suspendedClock.ts
+++ b/packages/almondrelay-gateway/src/process/suspendedClock.ts
@@ -1,27 +1,27 @@
 import type { TimeSources } from './timeSources.js'
 
-/** Difference between time of day and steady time, in milliseconds, from which on a suspension is looked for. */
+/** Minimum advance of the wall clock over the monotonic clock, in milliseconds, at which the uptime is checked for a suspension. */
 const LEAST_GAP_MS = 250
-/** Milliseconds by which time of day and uptime may disagree about a suspension: uptime counts in hundredths of a second. */
+/** Milliseconds by which wall clock and uptime may disagree about a suspension: uptime has a resolution of 10 ms. */
 const TOLERANCE_MS = 100
 
 /**
- * Monotonic time that also counts what passed while the machine was suspended.
+ * Monotonic clock that also counts the time during which the machine was suspended.
  *
- * Guards against a machine that stops for seconds and goes on as if nothing had happened: by the steady clock alone what it
- * knew of targets is as fresh as before, callers that have given up are still waiting, and its requests run for nobody. The
- * first reading after it jumps by what was missed, so that every age and deadline is right again. Time of day alone is no
- * proof, as others set it: only where uptime shows the same gap has the machine stood still.
+ * The monotonic clock of the system stands still during a suspension. By it alone, a machine that resumes after some seconds
+ * would treat outdated state of targets as fresh and run requests for callers that have already given up. The first reading
+ * after a suspension therefore jumps by its length, which corrects every age and deadline. The wall clock alone is no proof
+ * of a suspension, because it may be set by others: the uptime must show the same gap.
  */
 export class SuspendedClock {
-  /** Milliseconds of all suspensions so far. */
+  /** Total milliseconds of all suspensions so far. */
   private missedMs = 0
   private lastSteady: number
   private lastWall: number
   private readonly startSteady: number
   private readonly startUptime: number
 
-  /** @param handleGap called with the milliseconds of each suspension, once it has been noticed */
+  /** @param handleSuspension called with the length of each suspension in milliseconds when it is detected */
   constructor (private readonly sources: TimeSources, private readonly handleGap: (gapMs: number) => void) {
     this.lastSteady = sources.readSteady()
     this.lastWall = sources.readWall()
@@ -29,7 +29,7 @@
     this.startUptime = sources.readUptime()
   }
 
-  /** Monotonic milliseconds. */
+  /** Returns the monotonic time in milliseconds, suspensions included. */
   readonly getNow = (): number => {
     const steady = this.sources.readSteady()
     const wall = this.sources.readWall()
--- a/packages/almondrelay-gateway/src/process/timeSources.ts
+++ b/packages/almondrelay-gateway/src/process/timeSources.ts
@@ -1,9 +1,9 @@
-/** Where a clock reads time from; all in milliseconds. */
+/** Clocks of the system; all values are in milliseconds. */
 export interface TimeSources {
-  /** Rises evenly while the machine runs; stands still while it is suspended. */
+  /** Monotonic time; stands still while the machine is suspended. */
   readSteady: () => number
-  /** Time of day: counts a suspension, and may be set by others. */
+  /** Time of day; advances during a suspension, and may be set by others. */
   readWall: () => number
-  /** Time since the machine's start, suspensions included; dearer to read than the others. */
+  /** Time since the machine booted, suspensions included; more expensive to read than the other clocks. */
   readUptime: () => number
 }
--- a/packages/almondrelay-gateway/src/testing.ts
+++ b/packages/almondrelay-gateway/src/testing.ts
@@ -1,4 +1,4 @@
-/** Parts that measurements and stand-ins of this repository need and that a daemon doesn't. */
+/** Exports for the measurements and stand-ins of this repository; no daemon uses them. */
 export { AwayAllowance } from './request/awayAllowance.js'
 export { chooseTarget } from './request/chooseTarget.js'
 export { decideAdmission } from './request/decideAdmission.js'
