--- a/packages/almondrelay-gateway/src/process/__tests__/suspendedClock.test.ts
+++ b/packages/almondrelay-gateway/src/process/__tests__/suspendedClock.test.ts
@@ -24,7 +24,7 @@
   }
 }
 
-// Guards against a host that resumes after a suspension of eight seconds and, as its monotonic clock has stood still, forwards
+// Guards against a host that resumes after a suspension of eight seconds and, as its steady clock has stood still, forwards
 // requests of callers that have left, based on the state of targets of eight seconds ago.
 test('the first reading after a suspension includes its length', () => {
   const machine = new MachineClocks()
--- a/packages/almondrelay-gateway/src/process/suspendedClock.ts
+++ b/packages/almondrelay-gateway/src/process/suspendedClock.ts
@@ -1,6 +1,6 @@
 import type { TimeSources } from './timeSources.js'
 
-/** Minimum advance of the wall clock over the monotonic clock, in milliseconds, at which the uptime is checked for a suspension. */
+/** Minimum advance of the wall clock over the steady clock, in milliseconds, at which the uptime is checked for a suspension. */
 const LEAST_GAP_MS = 250
 /** Milliseconds by which wall clock and uptime may disagree about a suspension: uptime has a resolution of 10 ms. */
 const TOLERANCE_MS = 100
@@ -8,7 +8,7 @@
 /**
  * Monotonic clock that also counts the time during which the machine was suspended.
  *
- * The monotonic clock of the system stands still during a suspension. By it alone, a machine that resumes after some seconds
+ * The steady clock of the system stands still during a suspension. By it alone, a machine that resumes after some seconds
  * would treat outdated state of targets as fresh and run requests for callers that have already given up. The first reading
  * after a suspension therefore jumps by its length, which corrects every age and deadline. The wall clock alone is no proof
  * of a suspension, because it may be set by others: the uptime must show the same gap.
