--- a/packages/almondrelay-gateway/src/process/suspendedClock.ts
+++ b/packages/almondrelay-gateway/src/process/suspendedClock.ts
@@ -14,14 +14,14 @@
  * of a suspension, because it may be set by others: the uptime must show the same gap.
  */
 export class SuspendedClock {
-  /** Total milliseconds of all suspensions so far. */
+  /** Milliseconds of all suspensions so far. */
   private missedMs = 0
   private lastSteady: number
   private lastWall: number
   private readonly startSteady: number
   private readonly startUptime: number
 
-  /** @param handleSuspension called with the length of each suspension in milliseconds when it is detected */
+  /** @param handleGap called with the length of each suspension in milliseconds when it is detected */
   constructor (private readonly sources: TimeSources, private readonly handleGap: (gapMs: number) => void) {
     this.lastSteady = sources.readSteady()
     this.lastWall = sources.readWall()
@@ -29,7 +29,7 @@
     this.startUptime = sources.readUptime()
   }
 
-  /** Returns the monotonic time in milliseconds, suspensions included. */
+  /** Monotonic milliseconds. */
   readonly getNow = (): number => {
     const steady = this.sources.readSteady()
     const wall = this.sources.readWall()
