--- a/packages/almondrelay-gateway/src/process/lookup/listEntryHosts.ts
+++ b/packages/almondrelay-gateway/src/process/lookup/listEntryHosts.ts
@@ -1,11 +1,11 @@
 import type { HostEntry } from '../fleet/hostEntry.js'
 
-/** Addresses in one look-up answer at most. */
+/** Maximum addresses in one look-up answer. */
 const MOST_ADDRESSES = 64
 
 /**
- * The hosts that a caller of a region should use: those of its region, else all. A caller tries
- * another address only on failure, so hosts farther away are named only where none is near.
+ * Returns the hosts that a caller of a region should use: the hosts of its region, or all hosts if the region has none. A caller tries
+ * another address only after a failure, so hosts of other regions are listed only if there are none in its own.
  */
 export function listEntryHosts (live: readonly HostEntry[], region: string): HostEntry[] {
   const near = live.filter((entry) => entry.region === region)
--- a/packages/almondrelay-gateway/src/process/lookup/lookupAnswers.ts
+++ b/packages/almondrelay-gateway/src/process/lookup/lookupAnswers.ts
@@ -5,7 +5,10 @@
 import { listEntryHosts } from './listEntryHosts.js'
 import type { LookupCodec } from './lookupCodec.js'
 
-/** Milliseconds for which an answer may be kept, if the platform allows as much: a host that ends is out of use soon after. */
+/**
+ * Maximum milliseconds for which a caller may cache an answer, even if the platform allows more, so that callers soon stop using a host
+ * that exits.
+ */
 const ANSWER_LIFE_MS = 2_000
 
 interface AnswerParts {
@@ -19,11 +22,11 @@
   isLeaving: () => boolean
 }
 
-/** Answers look-ups and the platform's question for readiness. */
+/** Answers look-ups and the platform's readiness checks. */
 export class LookupAnswers {
   constructor (private readonly parts: AnswerParts) {}
 
-  /** A host serves once it knows a configuration, the targets and its peers, and until it leaves. */
+  /** Returns whether this host serves: it has a configuration, knows the targets and its peers, and isn't leaving. */
   isReady (): boolean {
     const { fleet, isLeaving } = this.parts
     return fleet.isComplete && fleet.configuration !== undefined && !isLeaving()
--- a/packages/almondrelay-gateway/src/process/lookup/lookupCodec.ts
+++ b/packages/almondrelay-gateway/src/process/lookup/lookupCodec.ts
@@ -1,13 +1,13 @@
 import type { HostEntry } from '../fleet/hostEntry.js'
 
-/** How callers ask which hosts to use, and how the platform asks whether this host serves. */
+/** Format of the callers' look-ups of hosts, and path of the platform's readiness checks. */
 export abstract class LookupCodec {
   abstract readonly lookupPath: string
   abstract readonly readinessPath: string
 
-  /** Region from which the question comes; undefined where it doesn't say. */
+  /** Returns the region of the caller; undefined if the query doesn't name one. */
   abstract decodeRegion (query: URLSearchParams): string | undefined
 
-  /** @param lifeMs how long the caller may keep the answer */
+  /** @param ttlMs milliseconds for which the caller may cache the answer */
   abstract encodeHosts (hosts: readonly HostEntry[], lifeMs: number): string
 }
--- a/packages/almondrelay-gateway/src/process/organisations/__fixtures__/allowanceFleet.ts
+++ b/packages/almondrelay-gateway/src/process/organisations/__fixtures__/allowanceFleet.ts
@@ -1,10 +1,10 @@
 import { Allowances } from '../allowances.js'
 import type { UseReport } from '../useReport.js'
 
-/** Milliseconds between the reports of a host, and between two steps of the model. */
+/** Milliseconds between two reports of a host, and between two steps of the simulation. */
 const REPORT_MS = 250
 const STEP_MS = 10
-/** Hosts of a zone that sum up. */
+/** Hosts of a zone that aggregate its reports. */
 const SUMMING = 2
 
 interface ModelHost {
@@ -29,25 +29,28 @@
   windowMs: number
   ratePerSecond: number
   burst: number
-  /** In [0, 1), the same for every run. */
+  /** Returns values in [0, 1), the same sequence in every run. */
   random: () => number
-  /** Requests a second that callers of the organisation send to a host. */
+  /** Returns the requests per second that callers of the organisation send to a host. */
   ask: (host: { index: number, zone: number }, now: number) => number
   isLinked?: (from: number, to: number, now: number) => boolean
   isDown?: (index: number, now: number) => boolean
-  /** Part of the datagrams that is lost, and of the others the part that comes twice, the second time late. */
+  /** Share of the datagrams that are lost; also the share of the others that arrive twice, the second time 300 ms late. */
   loss?: number
-  /** Hosts stay known though nobody hears them. */
+  /** Returns the organisation's rate limit at a time, where it changes during the run. */
   ratePerSecondAt?: (now: number) => number
-  /** Part of the requests that were let through and then aren't run. */
+  /** Share of the admitted requests that are not run afterwards. */
   notRun?: number
 }
 
 const NAME = 'school'
 
-/** One organisation's requests through a fleet of hosts that tell each other of them, in virtual time. */
+/**
+ * Simulates, in virtual time, the requests of one organisation to a fleet of hosts that exchange reports about them. Hosts that are
+ * down or from which no reports arrive still count as hosts of the fleet.
+ */
 export class AllowanceFleet {
-  /** Times of the requests that were let through and run, and of those that were refused. */
+  /** Times of the requests that were admitted and run, and of those that were refused. */
   readonly ran: number[] = []
   readonly refused: number[] = []
   datagramsSent = 0
@@ -56,7 +59,7 @@
   private datagrams: Datagram[] = []
 
   constructor (private readonly options: FleetOptions) {
-    // The hosts have run for a window before the first request.
+    // The hosts run for one window before the first request.
     this.now = -options.windowMs
     this.hosts = Array.from({ length: options.zones * options.hostsPerZone }, (_, index) => this.makeHost(index, this.now))
   }
@@ -68,7 +71,7 @@
     }
   }
 
-  /** The most that ran within any window. */
+  /** Returns the largest number of requests that ran within any window. */
   findMost (): number {
     let most = 0
     let first = 0
@@ -79,7 +82,7 @@
     return most
   }
 
-  /** Requests that were refused though all that were asked for in the window up to then were within the limit. */
+  /** Counts the refused requests for which all requests of the window up to then, refused ones included, were within the limit. */
   countWronglyRefused (): number {
     const { windowMs, ratePerSecond, burst } = this.options
     const asked = [...this.ran, ...this.refused].sort((one, other) => one - other)
@@ -103,7 +106,7 @@
     return host
   }
 
-  /** The first hosts of each zone that are up, as all know at once. */
+  /** Returns whether a host is among the first hosts of its zone that are up. In the simulation, all hosts notice a change at once. */
   private isSumming (index: number): boolean {
     const { hostsPerZone } = this.options
     let rank = 0
--- a/packages/almondrelay-gateway/src/process/organisations/__fixtures__/runRandomDay.ts
+++ b/packages/almondrelay-gateway/src/process/organisations/__fixtures__/runRandomDay.ts
@@ -6,21 +6,22 @@
 const RATES = [6, 15, 60, 282]
 const ZONES = [2, 6, 9]
 const HOSTS_PER_ZONE = [1, 4, 12]
-/** Part of its limit that an organisation usually asks for. */
+/** Usual request rate of an organisation, as a share of its rate limit. */
 const USUAL = 0.625
-/** What the operators grant above the limit: a tenth of it, and twenty requests. */
+/** Excess over the limit that the operators accept: a tenth of the limit, and twenty requests. */
 const OVERAGE = 0.1
 const SLACK = 20
 
 interface RandomDay {
-  /** Requests that ran within the worst window, and what the operators bear there. */
+  /** Largest number of requests that ran within any window, and the largest number that the operators accept. */
   most: number
   bound: number
 }
 
 /**
- * A day of one organisation that sends several times its usual, through all hosts or a few, while hosts are cut off one by one, in
- * two parts or by regions, while some or all are killed and started again, and while datagrams are lost or come twice.
+ * Simulates one organisation whose traffic surges to up to 4.7 times its limit, through all hosts or a tenth of them, with faults
+ * chosen by the seed: hosts are isolated one by one, in two groups or by region; some or all hosts are killed and restarted; datagrams
+ * are lost or arrive twice.
  */
 export function runRandomDay (seed: number): RandomDay {
   const random = createSeededRandom(seed)
--- a/packages/almondrelay-gateway/src/process/organisations/__tests__/allowances.test.ts
+++ b/packages/almondrelay-gateway/src/process/organisations/__tests__/allowances.test.ts
@@ -5,15 +5,18 @@
 import { runRandomDay } from '../__fixtures__/runRandomDay.js'
 import { Allowances } from '../allowances.js'
 
-const test = suite('allowances of organisations over all hosts')
+const test = suite('allowances of organisations across all hosts')
 const ZONES = 6
 const HOSTS_PER_ZONE = 12
 const HOSTS = ZONES * HOSTS_PER_ZONE
 const WINDOW_MS = 5_000
 const RATES = [15, 60, 282]
-/** What the operators bear: the rate over the window and the burst, a tenth more, and twenty requests. */
+/**
+ * Largest number of requests per window that the operators accept: the rate over the window and the burst, a tenth more, and twenty
+ * requests.
+ */
 const computeBound = (rate: number): number => (rate * 5 + rate) * 1.1 + 20
-/** Part of the requests below the limit that may be refused by chance. */
+/** Share of the requests below the limit that may be refused by chance. */
 const REFUSED_BY_CHANCE = 0.05
 
 type Options = ConstructorParameters<typeof AllowanceFleet>[0]
@@ -26,13 +29,14 @@
 const isRush = (now: number): boolean => now > 10_000 && now < 18_000
 const computeWrongPart = (fleet: AllowanceFleet): number => fleet.countWronglyRefused() / (fleet.refused.length + fleet.ran.length)
 
-// 72 hosts each see a middling organisation's request once in four seconds. With an equal split of its limit nearly all of
-// them are refused, though it asks for little more than half of what it may.
-test('an organisation at its usual is never refused, however few of its requests each host sees', () => {
+// Guards against splitting the limit equally among the hosts. Each of 72 hosts receives a request of a medium-sized organisation only
+// once in four seconds; with an equal split nearly all would be refused, although the organisation sends little more than half of its
+// limit.
+test('an organisation at its usual rate is never refused, however few of its requests each host receives', () => {
   for (const rate of [6, ...RATES]) assert.is(runFleet(rate, { ask: () => rate * 0.625 / HOSTS }).refused.length, 0, String(rate))
 })
 
-test('at nine tenths of its limit next to nothing is refused: evenly, in bursts and while its callers move between zones', () => {
+test('at nine tenths of the limit hardly any request is refused: with even traffic, in bursts and while callers move between zones', () => {
   const ways: Array<(rate: number) => Options['ask']> = [
     (rate) => () => rate * 0.9 / HOSTS,
     (rate) => (_, now) => now % 2_200 < 1_000 ? rate * 1.98 / HOSTS : 0,
@@ -47,9 +51,9 @@
   }
 })
 
-// A customer's batch job sends nearly five times its limit from one moment to the next. Each host sees so little of it that by its own
-// count there is nothing to refuse; 75 hosts together let 75 times as much pass.
-test('a sudden rush through all hosts, or through five, keeps to the limit', () => {
+// Guards against limits that each host applies to its own count. A customer's batch job suddenly sends nearly five times its limit;
+// each host receives so few of the requests that it would refuse none, and 75 hosts together would admit 75 times the limit.
+test('a sudden surge through all hosts, or through five, stays within the limit', () => {
   for (const rate of RATES) {
     const all = runFleet(rate, { ask: (_, now) => rate * (isRush(now) ? 4.7 : 0.625) / HOSTS })
     const few = runFleet(rate, { ask: ({ index }, now) => rate * 0.625 / HOSTS + (isRush(now) && index < 5 ? rate * 4 / 5 : 0) })
@@ -57,9 +61,9 @@
   }
 })
 
-// An organisation asks for more than it may, for long. Dropped by what is free at the moment, its requests never fill the window: it
-// gets four fifths of its limit while its callers are told that it has had all.
-test('an organisation that always asks for more gets nearly all that it may have', () => {
+// Guards against refusing too much under a long overload. If requests are admitted only by the room that is free at the moment, the
+// window never fills: the organisation gets four fifths of its limit, while its callers are told that it has used all of it.
+test('an organisation that constantly exceeds its limit gets nearly all of the limit', () => {
   for (const rate of RATES) {
     for (const rush of [1.5, 2.5, 4.7]) {
       const fleets = [1, 2, 3].map((seed) => runFleet(rate, { ask: (_, now) => rate * (isRush(now) ? rush : 0.625) / HOSTS, random: createSeededRandom(seed) }))
@@ -70,9 +74,9 @@
   }
 })
 
-// A third of the hosts is cut off, each from all others, and its callers stay with it. Each of them hears of nobody's requests,
-// and with the whole limit to itself would let through as much as all should together.
-test('hosts that are cut off, and those that are left, keep to the limit together', () => {
+// Guards against isolated hosts that use the whole limit. A third of the hosts is isolated, each from all others, and keeps its
+// callers. Each receives no reports, and without a reduced limit would admit as many requests as all hosts together may.
+test('isolated hosts and the remaining hosts together stay within the limit', () => {
   for (const rate of RATES) {
     for (const rushAt of [5_000, 9_000]) {
       const fleet = runFleet(rate, {
@@ -84,9 +88,9 @@
   }
 })
 
-// At the height of a rush all hosts are killed and started again. They know nothing of what they let through a second ago, and the
-// window still holds it.
-test('hosts that are started anew at the height of a rush keep to the limit, and serve those at their usual', () => {
+// Guards against a restart that forgets usage. All hosts are killed at the peak of a surge and restarted. They don't know the requests
+// that they admitted a second ago and that are still in the window.
+test('hosts that restart at the peak of a surge stay within the limit, and hardly refuse requests at the usual rate', () => {
   const isDown = (index: number, now: number): boolean => now > 13_000 && now < 14_000 + index * 10
   for (const rate of RATES) {
     assert.ok(runFleet(rate, { ask: (_, now) => rate * (now > 9_000 ? 4.7 : 0.625) / HOSTS, isDown }).findMost() <= computeBound(rate), String(rate))
@@ -94,9 +98,9 @@
   }
 })
 
-// The two hosts that sum up for a zone are killed. Started again they hear only what comes from then on; for five seconds their
-// word alone would let the window's worth through a second time.
-test('hosts that sum up and are started anew don\'t forget what their zone let through', () => {
+// Guards against aggregators that lose their zone's usage. Both aggregators of each zone are killed and restarted. They receive only
+// later reports; for five seconds, by their sums alone, the limit of a window would be admitted a second time.
+test('restarted aggregators take into account what their zone admitted before', () => {
   for (const rate of RATES) {
     const fleet = runFleet(rate, {
       ask: (_, now) => rate * (now > 9_000 ? 4.7 : 0.625) / HOSTS,
@@ -106,9 +110,10 @@
   }
 })
 
-// Both hosts that sum up for a zone are lost for good, and the next two take their place. They have heard what the others let through
-// from now on only; what the window still holds isn't in their sums, though they have run for long.
-test('hosts that come to sum up know that they missed what came before', () => {
+// Guards against new aggregators that trust incomplete sums. Both aggregators of each zone are lost for good, and the next two hosts
+// replace them. Although these have run for long, they receive the other hosts' reports only from now on; earlier requests in the
+// window are missing.
+test('hosts that become aggregators take into account that they missed earlier reports', () => {
   for (const rate of RATES) {
     const fleet = runFleet(rate, {
       ask: (_, now) => rate * (now > 9_000 ? 4.7 : 0.625) / HOSTS,
@@ -118,26 +123,26 @@
   }
 })
 
-test('lost, late and doubled datagrams neither add to the use nor hide it', () => {
+test('lost, late and duplicated datagrams neither add to the usage nor hide it', () => {
   for (const rate of RATES) {
     const fleet = runFleet(rate, { ask: (_, now) => rate * (isRush(now) ? 4.7 : 0.625) / HOSTS, loss: 0.2 })
     assert.ok(fleet.findMost() <= computeBound(rate), `${rate}: ${fleet.findMost()}`)
   }
 })
 
-test('what was let through and not run is given back', () => {
+test('admitted requests that are not run are released', () => {
   const fleet = runFleet(60, { ask: () => 60 * 1.25 / HOSTS, notRun: 0.3 })
   assert.ok(computeWrongPart(fleet) < REFUSED_BY_CHANCE, String(computeWrongPart(fleet)))
 })
 
-test('a limit that is lowered far below the use binds within a window', () => {
+test('a limit that is lowered far below the usage takes effect within a window', () => {
   const fleet = runFleet(60, { ask: () => 60 * 0.9 / HOSTS, ratePerSecondAt: (now) => now < 8_000 ? 60 : 10 })
   const late = fleet.ran.filter((at) => at >= 13_000 && at < 18_000).length
   assert.ok(late <= (10 * 5 + 60) * 1.1 + 20, String(late))
   assert.ok(late > 0)
 })
 
-test('what a host sends a second grows with the zones and the hosts of its zone, not with all hosts', () => {
+test('the datagrams that a host sends per second grow with the zones and the hosts of its zone, not with all hosts', () => {
   const countSent = (zones: number, hostsPerZone: number): number => {
     const fleet = new AllowanceFleet({ zones, hostsPerZone, windowMs: WINDOW_MS, ratePerSecond: 60, burst: 60, random: createSeededRandom(1), ask: () => 0 })
     fleet.run(1_000)
@@ -146,7 +151,7 @@
   assert.ok(countSent(9, 22) < countSent(6, 13) * 1.5)
 })
 
-test('an organisation without a limit is never refused and never counted', () => {
+test('requests of an organisation without a limit are never refused and never counted', () => {
   const allowances = new Allowances({ availabilityZone: 'z', windowMs: WINDOW_MS, startedAt: 0, countHosts: () => 1, isSumming: () => true })
   allowances.setOrganisations([{ name: 'school', keys: [], priority: 0, ratePerSecond: 0, burst: 0, allowedRegions: [] }])
   assert.not(allowances.areNeeded)
@@ -154,9 +159,10 @@
   assert.is(allowances.takeTotals().size, 0)
 })
 
-// An organisation without a limit has requests under way when the operators give it one. They end as not run; taken off a count
-// that they were never in, the total fell below zero, could not be written into a report, and the host ended by itself.
-test('what was let through without a limit isn\'t released from one that came later, nor from one that went and came back', () => {
+// Guards against a total below zero, which can't be encoded in a report and made the host exit. Requests are in progress when the
+// operators set a limit for their organisation. They end without having been run, and were then subtracted from a count to which they
+// had never been added.
+test('requests admitted without a limit aren\'t released from a limit that was set later, nor from one that was removed and set again', () => {
   const allowances = new Allowances({ availabilityZone: 'z', windowMs: WINDOW_MS, startedAt: 0, countHosts: () => 1, isSumming: () => true })
   const setRate = (ratePerSecond: number): void => { allowances.setOrganisations([{ name: 'school', keys: [], priority: 0, ratePerSecond, burst: 5, allowedRegions: [] }]) }
   for (const [before, after] of [[0, 10], [10, 0]] as const) {
@@ -171,7 +177,7 @@
   }
 })
 
-test('on random days with rushes, cuts, kills and losses the limit is kept', () => {
+test('on random days with surges, partitions, kills and losses the limit is kept', () => {
   for (let seed = 1; seed <= 30; seed += 1) {
     const { most, bound } = runRandomDay(seed)
     assert.ok(most <= bound, `seed ${seed}: ${most} of ${bound}`)
--- a/packages/almondrelay-gateway/src/process/organisations/__tests__/useExchange.test.ts
+++ b/packages/almondrelay-gateway/src/process/organisations/__tests__/useExchange.test.ts
@@ -11,14 +11,14 @@
 import { UseExchange } from '../useExchange.js'
 import type { UseReport } from '../useReport.js'
 
-const test = suite('UseExchange')
+const test = suite('UsageExchange')
 const SEED = 20_261_203
 const SCHOOL = { name: 'school', keys: ['key-of-school'], priority: 0, ratePerSecond: 10, burst: 0, allowedRegions: [] }
 
 const makeEntry = (name: string, availabilityZone: string): HostEntry => ({ name, incarnation: 'i1', availabilityZone, region: 'akl', ip: `10.0.0.${name.length}${name.charCodeAt(0)}`, callerPort: 1, peerPort: 2 })
 const makeReport = (content: Partial<UseReport> = {}): UseReport => ({ host: 'a', incarnation: 'i1', availabilityZone: 'one', sequence: 1, totals: new Map(), zone: undefined, fleet: undefined, ...content })
 
-/** One host among others of two zones, with what it sends to whom. */
+/** One host in a fleet of two zones. Records the reports that it sends and their receivers. */
 class UseRig {
   readonly sent: Array<{ to: string, report: UseReport }> = []
   readonly allowances: Allowances
@@ -56,15 +56,16 @@
   }
 }
 
-test('where no organisation has a limit nothing is sent', async () => {
+test('nothing is sent if no organisation has a limit', async () => {
   const rig = new UseRig('a')
   await rig.runOnce()
   assert.is(rig.sent.length, 0)
 })
 
-// All hosts are killed at the height of a rush. Started again, each looked for limits before its configuration had come, found none
-// and looked again a second later: for a second nobody told anybody of what it let through, and a window passed its bound.
-test('a host that learns of limits after its start tells of them within a quarter of a second', async () => {
+// Guards against a late first report. All hosts were killed at the peak of a surge and restarted; each checked for limits before it had
+// its configuration, found none and checked again a second later. For a second no host reported what it admitted, and a window exceeded
+// its bound.
+test('a host that receives limits after its start reports its usage within a quarter of a second', async () => {
   const rig = new UseRig('c')
   const stop = new AbortController()
   const startedAt = rig.now
@@ -81,7 +82,7 @@
   assert.ok(rig.now - startedAt <= 500, String(rig.now - startedAt))
 })
 
-test('a host tells its own to the two that sum up for its zone, and nobody else', async () => {
+test('a host sends its own counts to the two aggregators of its zone, and to no other host', async () => {
   const rig = new UseRig('c')
   rig.allowances.setOrganisations([SCHOOL])
   rig.allowances.ask('school', rig.now)
@@ -90,7 +91,7 @@
   assert.equal([...(rig.sent[0]?.report.totals.values() ?? [])], [{ asked: 1, letThrough: 0 }])
 })
 
-test('one that sums up tells its zone\'s sum to those of the other zones, and the sum of all to its zone', async () => {
+test('an aggregator sends its zone\'s sum to the aggregators of other zones, and the sum of all zones to the hosts of its zone', async () => {
   const rig = new UseRig('a')
   rig.allowances.setOrganisations([SCHOOL])
   for (let request = 0; request < 40; request += 1) {
@@ -102,8 +103,9 @@
   assert.is(rig.sent.find(({ report }) => report.zone !== undefined)?.report.zone?.uses.size, 1)
 })
 
-// Anybody may send to the port. A made-up sum, or one of a host's former life, would refuse a customer everywhere.
-test('only a host\'s own word in its present life and from its address counts', () => {
+// Guards against forged reports: anybody can send to the port. With a made-up sum, or one of a host's earlier incarnation, the requests
+// of a customer would be refused at all hosts.
+test('a report is applied only if it is of a host\'s current incarnation and came from its address', () => {
   const rig = new UseRig('c')
   rig.allowances.setOrganisations([SCHOOL])
   rig.allowances.ask('school', rig.now)
@@ -119,7 +121,7 @@
   assert.is(rig.allowances.ask('school', rig.now).allowedPart, 0)
 })
 
-test('reports read as they were written, and bytes of any kind are a report or nothing', () => {
+test('reports decode to what was encoded, and arbitrary bytes decode to a valid report or to nothing', () => {
   const report = makeReport({ totals: new Map([[7, { asked: 3, letThrough: 2 }]]), zone: { hosts: 4, unseenMs: 20, uses: new Map([[9, { letThrough: 5, leavingPerSecond: 0, askedPerSecond: 1.5 }]]) } })
   const bytes = encodeUseReport(report)
   assert.equal(decodeDatagram(bytes), { kind: 'use', report })
@@ -132,9 +134,9 @@
   }), { seed: SEED, numRuns: 2_000 })
 })
 
-// A zone's next word is overdue, so its hosts count in part. The sum had 5.6 hosts, which can't be written as a whole number, and the
-// host that summed up ended by itself, again after each start.
-test('a sum with a word that is overdue is written in whole numbers', async () => {
+// Guards against fractions in integer fields. When the next report of a zone is overdue, its hosts count in part. A sum had 5.6 hosts,
+// which can't be encoded as an integer, and the aggregator exited, again after each restart.
+test('a sum that includes an overdue report is encoded in whole numbers', async () => {
   const rig = new UseRig('a')
   rig.allowances.setOrganisations([SCHOOL])
   rig.allowances.ask('school', rig.now)
@@ -147,7 +149,7 @@
   assert.ok((word.uses.get(hash)?.letThrough ?? 0) > 7)
 })
 
-test('keys stand in no report', () => {
+test('reports contain no keys', () => {
   const rig = new UseRig('c')
   rig.allowances.setOrganisations([SCHOOL])
   rig.allowances.ask('school', rig.now)
--- a/packages/almondrelay-gateway/src/process/organisations/addZones.ts
+++ b/packages/almondrelay-gateway/src/process/organisations/addZones.ts
@@ -3,17 +3,18 @@
 import type { HeardUse } from './heardUse.js'
 import { SILENCE_MS } from './silenceMs.js'
 
-/** Age of a word, in milliseconds, up to which the next one isn't overdue. */
+/** Maximum age of a snapshot, in milliseconds, at which the next one isn't overdue yet. */
 const TRUSTED_MS = 600
 
 /**
- * The organisations' requests of several zones together; what is unseen counts by the zone's hosts.
+ * Adds up the usage of several zones. Their unseen times are averaged, weighted by the number of hosts.
  *
- * A word is as old as it is, and its zone lets requests through meanwhile: they are added by its rate, as far as the organisation's
- * allowance bears the rate of all zones. Without that, each side of a partition takes for free what the others are using, until
- * it sees that it doesn't hear them any more.
+ * Each zone keeps admitting requests after it sent its snapshot. The sum therefore includes an estimate of these requests, from the
+ * zone's request rate and the age of the snapshot; it is reduced where the rate of all zones together exceeds the organisation's
+ * allowance. Without the estimate, each side of a network partition would treat the share that the other side is using as free until it
+ * notices that the reports have stopped.
  *
- * @param findRate requests a second that an organisation's allowance bears
+ * @param findRate returns the requests per second that an organisation's allowance permits
  */
 export function addZones (zones: readonly HeardUse[], findRate: (organisation: number) => number): FleetUse {
   const sums = new Map<number, KnownUse>()
@@ -36,7 +37,7 @@
   return { hosts, unseenMs: unseenHostMs / Math.max(1, heardHosts), uses }
 }
 
-/** Part of a zone's hosts that counts as heard: less, the longer its next word is overdue. */
+/** Returns the share of a zone's hosts that counts as known, which falls from 1 to 0 the longer the zone's next snapshot is overdue. */
 const computeTrust = (ageMs: number): number => Math.min(1, Math.max(0, (SILENCE_MS - ageMs) / (SILENCE_MS - TRUSTED_MS)))
 
 const addUses = (first: KnownUse | undefined, second: KnownUse): KnownUse => first === undefined
--- a/packages/almondrelay-gateway/src/process/organisations/allowanceClaim.ts
+++ b/packages/almondrelay-gateway/src/process/organisations/allowanceClaim.ts
@@ -1,11 +1,13 @@
 import type { OrganisationUse } from '../../request/organisationUse.js'
 
-/** One request's claim on its organisation's allowance. */
+/** The claim of one request on its organisation's allowance. */
 export interface AllowanceClaim {
-  /** Part of such requests that is let through now. */
+  /** Share of the organisation's requests that this host admits at present. */
   allowedPart: number
   /** Hash of the organisation's name. */
   organisation: number
-  /** Where the request is counted; undefined where the organisation had no limit when it came, so that nothing is to be released. */
+  /**
+   * Counter to which the request was added; undefined if the organisation had no limit when it arrived, so there is nothing to release.
+   */
   use: OrganisationUse | undefined
 }
--- a/packages/almondrelay-gateway/src/process/organisations/allowances.ts
+++ b/packages/almondrelay-gateway/src/process/organisations/allowances.ts
@@ -16,16 +16,16 @@
 import type { UseReport } from './useReport.js'
 import type { ZoneUse } from './zoneUse.js'
 
-/** Milliseconds after its start in which a host takes those that it hasn't heard yet for reached: their first words are on their way. */
+/** Milliseconds after its start in which a host treats the usage of all hosts as known, as their first reports have yet to arrive. */
 const FIRST_WORDS_MS = 500
-/** Milliseconds of a host's own requests that are not yet in what the zone's summing hosts tell it. */
+/** Milliseconds for which a host's own requests are not yet included in the reports that it receives from its zone's aggregators. */
 const UNTOLD_MS = 500
 /**
- * Part of its zone's part of the limit from which on an organisation is named to the other zones. Those that no zone names
- * are below this part of the limit in all.
+ * Share of a zone's share of the limit from which on an organisation's usage is reported to the other zones. An organisation that no zone
+ * reports is below this share of its limit in all zones together.
  */
 const NAMED_PART = 0.9
-/** Zones that are remembered: anybody may send reports. */
+/** Maximum zones kept. Anybody can send reports, so the map has to be bounded. */
 const MOST_ZONES = 1_000
 
 const NOTHING_USED: KnownUse = { letThrough: 0, leavingPerSecond: 0, askedPerSecond: 0 }
@@ -33,22 +33,23 @@
 
 interface AllowanceParts {
   availabilityZone: string
-  /** Window in which an organisation may have its rate and its burst, in milliseconds. */
+  /** Length of the sliding window, in milliseconds; within one window an organisation may have its rate and its burst. */
   windowMs: number
   /** When the host started, in monotonic milliseconds. */
   startedAt: number
-  /** Hosts that may let requests through, those too that aren't heard. */
+  /** Returns the number of hosts that may be admitting requests, including those from which no reports arrive. */
   countHosts: () => number
-  /** Whether this host sums up the requests of its zone. */
+  /** Returns whether this host is an aggregator of its zone. */
   isSumming: (now: number) => boolean
 }
 
 /**
- * How much of its organisations' allowances all hosts together have used, as this host knows it.
+ * Tracks, as far as this host knows, how much of the organisations' allowances all hosts together have used, and computes the share of
+ * an organisation's requests that this host may admit.
  *
- * Each host tells the summing hosts of its zone what came to it; these tell those of the other zones what came to the zone, and
- * their own zone's hosts what came to all. So what a host sends and reads grows with the zones and with the hosts of its own
- * zone, not with all hosts, and nothing about it stands in the platform's store.
+ * Each host reports its counts to the aggregators of its zone. An aggregator reports the zone's sum to the aggregators of the other
+ * zones and the sum of all zones to the hosts of its own zone. The traffic of a host therefore grows with the number of zones and of
+ * hosts in its zone, not with the number of all hosts, and nothing of it is written to the platform's store.
  */
 export class Allowances {
   private readonly limits = new Map<number, number>()
@@ -57,7 +58,7 @@
   private readonly peers = new PeerTotals()
   private readonly zones = new Map<string, HeardUses>()
   private readonly fleet = new HeardUses()
-  /** Since when this host sums up for its zone; undefined while it doesn't. */
+  /** Time since which this host has been an aggregator of its zone; undefined while it is none. */
   private summingSince: number | undefined
   private changed = new Set<number>()
   private changedBefore = new Set<number>()
@@ -69,7 +70,7 @@
     return this.limits.size > 0
   }
 
-  /** Puts the limits of a configuration in force; what was used stays used. */
+  /** Applies the limits of a configuration. Usage that was already counted is kept for organisations that still have a limit. */
   setOrganisations (organisations: readonly Organisation[]): void {
     this.limits.clear()
     for (const { name, ratePerSecond, burst } of organisations) {
@@ -80,7 +81,7 @@
     for (const hash of this.uses.keys()) if (!this.limits.has(hash)) this.uses.delete(hash)
   }
 
-  /** Counts a request that was asked for, and says what part of such requests this host lets through now. */
+  /** Counts an incoming request and returns a claim with the share of the organisation's requests that this host admits at present. */
   ask (name: string, now: number): AllowanceClaim {
     const organisation = computeHash(name)
     const limit = this.limits.get(organisation)
@@ -91,17 +92,18 @@
     return { allowedPart: computeAllowedPart(this.describe(organisation, limit, use, now)), organisation, use }
   }
 
+  /** Counts the request as admitted. */
   observeLetThrough ({ use }: AllowanceClaim, now: number): void {
     use?.observeLetThrough(now)
   }
 
-  /** A request that was let through wasn't run and won't be. */
+  /** Takes an admitted request off the counts again, as it was not run and won't be. */
   releaseUse ({ use, organisation }: AllowanceClaim, letThroughAt: number, now: number): void {
     use?.releaseUse(letThroughAt, now)
     this.changed.add(organisation)
   }
 
-  /** What changed here since the report before the last one: each change is told twice, as datagrams are lost. */
+  /** Returns the totals that changed since the last but one report. Each change is reported twice, because datagrams may be lost. */
   takeTotals (): Map<number, UseTotals> {
     const totals = new Map<number, UseTotals>()
     for (const hash of new Set([...this.changed, ...this.changedBefore])) {
@@ -113,6 +115,7 @@
     return totals
   }
 
+  /** Applies a report: counts from hosts of this zone, fleet usage from this zone's aggregators, zone usage from those of other zones. */
   hear (report: UseReport, now: number): void {
     const { availabilityZone, zone, fleet } = report
     if (availabilityZone === this.parts.availabilityZone) {
@@ -121,7 +124,7 @@
     } else if (zone !== undefined) this.findZone(availabilityZone).hear(report.host, zone, now)
   }
 
-  /** What the other zones are told of this one. */
+  /** Returns the usage in this zone that is reported to the other zones. */
   describeZone (now: number): ZoneUse {
     const uses = new Map<number, KnownUse>()
     const hosts = this.countZoneHosts(now)
@@ -135,9 +138,9 @@
   }
 
   /**
-   * What this zone's hosts are told of all zones.
+   * Returns the usage in all zones that is reported to the hosts of this zone.
    *
-   * @param zone what the other zones are told of this one now
+   * @param zone this zone's usage, as it is reported to the other zones now
    */
   describeFleet (zone: ZoneUse, now: number): FleetUse {
     return addZones([{ use: zone, ageMs: 0 }, ...this.listFresh(now)], this.findRate)
@@ -146,15 +149,18 @@
   private describe (hash: number, limit: number, own: OrganisationUse, now: number): AllowanceInput {
     const { hosts, unseenMs, uses } = this.findFleet(own, hash, now)
     const { letThrough: used, leavingPerSecond, askedPerSecond } = uses.get(hash) ?? NOTHING_USED
-    // As much as the rate may have been let through before anybody listened: hosts that are all started anew at the height of a
-    // rush know nothing of what they let through before, and the window still holds it.
-    // It leaves the window by its rate, as what was seen does.
+    // Requests may have been admitted at the full rate before this host received reports: when all hosts restart at the peak of a
+    // surge, none knows the requests that it admitted before and that are still in the window. They are assumed to leave the window at
+    // the same rate.
     const rate = this.rates.get(hash) ?? 0
     const unseen = rate * unseenMs / 1_000
     return { limit: limit - unseen, used, leavingPerSecond: leavingPerSecond + rate * unseenMs / this.parts.windowMs, askedPerSecond, reach: this.computeReach(hosts, now) }
   }
 
-  /** What is known of one organisation in all zones: what a summing host told, with what came since, or else this host's own sum. */
+  /**
+   * Returns the usage of one organisation in all zones: an aggregator's last report plus the requests since, or else the sum that this
+   * host computes itself.
+   */
   private findFleet (own: OrganisationUse, hash: number, now: number): FleetUse {
     const told = this.fleet.find(now)
     const unseenMs = this.computeUnseen(now)
@@ -164,7 +170,10 @@
     return { hosts: 1, unseenMs, uses: new Map([[hash, { ...own.describeZone(now), letThrough: own.countOwn(now, this.parts.windowMs), leavingPerSecond: 0 }]]) }
   }
 
-  /** What was told, with what all have let through since by their rate, or this host alone where that is more. */
+  /**
+   * Adds to a reported usage an estimate of the requests that all hosts have admitted since, or the requests that this host alone has
+   * admitted and that the report doesn't include yet, if they are more.
+   */
   private addSinceTold (told: HeardUse, hash: number, untold: number): FleetUse {
     const present = addZones([told], this.findRate)
     const known = present.uses.get(hash)
@@ -176,9 +185,9 @@
   private readonly findRate = (hash: number): number => (this.limits.get(hash) ?? Infinity) / this.parts.windowMs * 1_000
 
   /**
-   * Milliseconds of the window in which this host didn't listen to those whose requests it tells of. One that comes to sum up, as
-   * those before it have ended, has heard only of its own until then; its sum alone would let the zone's part of the window through
-   * a second time.
+   * Returns the milliseconds of the window in which this host didn't receive reports from the hosts whose usage it sums up. A host that
+   * becomes an aggregator because earlier ones have exited knew only its own requests until then. By its sum alone, the zone's share of
+   * the window would be admitted a second time.
    */
   private computeUnseen (now: number): number {
     if (!this.parts.isSumming(now)) this.summingSince = undefined
@@ -186,12 +195,12 @@
     return Math.max(0, this.parts.windowMs - (now - (this.summingSince ?? this.parts.startedAt)))
   }
 
-  /** Whether this host has run for so long that others may have summed up for its zone before. */
+  /** Returns whether this host has run long enough that other hosts may have been the aggregators of its zone before. */
   private hasBegun (now: number): boolean {
     return now - this.parts.startedAt > SILENCE_MS
   }
 
-  /** Part of all hosts of whose requests this one knows. */
+  /** Returns the share of all hosts whose requests this host knows. */
   private computeReach (hosts: number, now: number): number {
     if (now - this.parts.startedAt < FIRST_WORDS_MS) return 1
     return Math.min(1, hosts / Math.max(1, this.parts.countHosts()))
@@ -213,7 +222,7 @@
     return heard
   }
 
-  /** Organisations that another zone names as near their limit: all zones then tell what they have of them. */
+  /** Finds the organisations that another zone reports as near their limit. All zones then report their usage of these organisations. */
   private findNamed (now: number): Set<number> {
     const named = new Set<number>()
     for (const { use: { hosts, uses } } of this.listFresh(now)) {
@@ -222,12 +231,13 @@
     return named
   }
 
-  /** Whether some hosts have more of an organisation's requests than their part of what is far below its limit. */
+  /** Returns whether usage at some hosts is, or by its rate will be, at least NEAR_LIMIT_SHARE of these hosts' share of the limit. */
   private isNear ({ letThrough, askedPerSecond }: KnownUse, limit: number, hosts: number): boolean {
     const soon = Math.max(letThrough, askedPerSecond * this.parts.windowMs / 1_000)
     return soon >= limit * NAMED_PART * hosts / Math.max(hosts, this.parts.countHosts())
   }
 
+  /** Returns the counter of an organisation's requests at this host and at the other hosts of its zone. */
   private findUse (hash: number): OrganisationUse {
     const known = this.uses.get(hash)
     if (known !== undefined) return known
@@ -237,7 +247,7 @@
   }
 }
 
-/** A word on one organisation alone: each request asks for one, and words name many. */
+/** Returns a snapshot that contains one organisation only: each request needs a single one, and snapshots contain many. */
 const pickOne = ({ use, ageMs }: HeardUse, hash: number): HeardUse => {
   const known = use.uses.get(hash)
   return { use: { ...use, uses: known === undefined ? NO_USES : new Map([[hash, known]]) }, ageMs }
--- a/packages/almondrelay-gateway/src/process/organisations/decodeUseReport.ts
+++ b/packages/almondrelay-gateway/src/process/organisations/decodeUseReport.ts
@@ -2,12 +2,15 @@
 import type { UseReport } from './useReport.js'
 import type { ZoneUse } from './zoneUse.js'
 
-/** Bytes of a name; longer ones aren't ours. */
+/** Maximum length of a host's or zone's name. Reports with longer names are rejected, as they can't come from a host. */
 const LONGEST_NAME = 200
-/** Hosts of the largest fleet, twice over: more can't be in a sum. */
+/** Twice the number of hosts of the largest fleet. A sum over more hosts can't be genuine. */
 const MOST_HOSTS = 10_000
 
-/** What a host tells of the organisations' requests; undefined where it can't be a host's word: a number that isn't finite would spoil every sum. */
+/**
+ * Decodes a report of organisations' requests. Returns undefined if a host can't have sent it, for example because a rate isn't finite:
+ * such a rate would make every sum that includes it useless.
+ */
 export function decodeUseReport (message: Message): UseReport | undefined {
   const { host, incarnation, availabilityZone, sequence, organisationHashes, asked, letThrough, zone, fleet } = message
   const areNamed = [host, availabilityZone].every((name) => name.length > 0 && name.length <= LONGEST_NAME)
--- a/packages/almondrelay-gateway/src/process/organisations/fleetUse.ts
+++ b/packages/almondrelay-gateway/src/process/organisations/fleetUse.ts
@@ -1,4 +1,4 @@
 import type { ZoneUse } from './zoneUse.js'
 
-/** The same of all zones that the sender hears. */
+/** Allowance usage of organisations in all zones from which the sender receives reports. */
 export type FleetUse = ZoneUse
--- a/packages/almondrelay-gateway/src/process/organisations/heardUse.ts
+++ b/packages/almondrelay-gateway/src/process/organisations/heardUse.ts
@@ -1,8 +1,8 @@
 import type { ZoneUse } from './zoneUse.js'
 
-/** What was last heard of a zone, or of all. */
+/** The last known usage of a zone, or of all zones together. */
 export interface HeardUse {
   use: ZoneUse
-  /** Milliseconds since it was heard. */
+  /** Milliseconds since the report was received. */
   ageMs: number
 }
--- a/packages/almondrelay-gateway/src/process/organisations/heardUses.ts
+++ b/packages/almondrelay-gateway/src/process/organisations/heardUses.ts
@@ -3,7 +3,7 @@
 import { SILENCE_MS } from './silenceMs.js'
 import type { ZoneUse } from './zoneUse.js'
 
-/** Senders that are remembered: two sum up for a zone, and others follow them when they end. */
+/** Maximum senders kept. A zone has two aggregators at a time, and other hosts replace them when they exit. */
 const MOST_SENDERS = 8
 
 interface Word {
@@ -12,17 +12,19 @@
 }
 
 /**
- * The last words of those that sum up for a zone. Two do, so that one that ends or stands still leaves no gap; the word of the
- * one that has listened longer counts, as one that was just started has missed what came before. Of two that have listened for
- * as long, what the one missed as its datagram was lost stands in the other's word: of each organisation the larger count is taken.
+ * The last snapshots from the aggregators of a zone. A zone has two of them, so that there is no gap when one exits or hangs. The
+ * snapshot with the least unseen time is used, because an aggregator that has just started has missed earlier reports. If several have
+ * the same unseen time, the larger count is used for each organisation, as each may have missed requests whose datagrams were lost.
  */
 export class HeardUses {
   private readonly words = new Map<string, Word>()
 
+  /** Stores a snapshot as the last one of its sender. */
   hear (sender: string, use: ZoneUse, now: number): void {
     putBounded(this.words, sender, { heardAt: now, use }, MOST_SENDERS)
   }
 
+  /** Returns the last known usage; undefined if no snapshot was received within SILENCE_MS. */
   find (now: number): HeardUse | undefined {
     const fresh = [...this.words.values()].filter(({ heardAt }) => now - heardAt <= SILENCE_MS)
     const unseenMs = Math.min(...fresh.map(({ use }) => use.unseenMs))
--- a/packages/almondrelay-gateway/src/process/organisations/peerTotals.ts
+++ b/packages/almondrelay-gateway/src/process/organisations/peerTotals.ts
@@ -2,26 +2,32 @@
 import type { UseTotals } from '../../request/useTotals.js'
 import type { UseReport } from './useReport.js'
 
-/** Hosts and organisations that are remembered: anybody may send reports of any name. */
+/** Maximum hosts and organisations kept. Anybody can send datagrams with made-up names, so the maps have to be bounded. */
 const MOST_PEERS = 1_000
 const MOST_ORGANISATIONS = 20_000
-/** Reports of a new life that may be lost before the first that is heard: what is in that one still counts from its start. */
+/**
+ * Highest sequence number that the first received report of an incarnation may have so that its totals are still counted from zero.
+ * Reports before it may have been lost.
+ */
 const FIRST_REPORTS = 8
 
 interface PeerState {
   incarnation: string
   sequence: number
   heardAt: number
-  /** Heard from its start on, so that an organisation that wasn't named before had no requests. */
+  /** Reports were received from the start of the incarnation, so an organisation that was in none of them had no requests. */
   isKnownFromStart: boolean
   totals: Map<string, UseTotals>
 }
 
-/** What the hosts of this zone have told of their requests, as totals since their start: a report that is lost is made up for by the next, one that comes twice adds nothing. */
+/**
+ * The counts that the hosts of this zone have reported, as totals since their start. With totals, the next report makes up for a lost
+ * one, and a report that arrives twice adds nothing.
+ */
 export class PeerTotals {
   private readonly peers = new Map<string, PeerState>()
 
-  /** By how much each organisation's totals rose with a report; nothing where it is older than the last one of its sender. */
+  /** Returns the increase of each organisation's totals; empty if the report is no newer than the last one from the same incarnation. */
   hear ({ host, incarnation, sequence, totals }: UseReport, now: number): Map<number, UseTotals> {
     const known = this.peers.get(host)
     const isSameLife = known?.incarnation === incarnation
@@ -33,7 +39,7 @@
     return new Map([...totals].flatMap(([organisation, total]) => this.advance(peer, organisation, total)))
   }
 
-  /** Hosts that were heard of late. */
+  /** Returns the number of hosts whose last report is at most `silenceMs` old. */
   countHeard (now: number, silenceMs: number): number {
     let heard = 0
     for (const { heardAt } of this.peers.values()) if (now - heardAt <= silenceMs) heard += 1
--- a/packages/almondrelay-gateway/src/process/organisations/silenceMs.ts
+++ b/packages/almondrelay-gateway/src/process/organisations/silenceMs.ts
@@ -1,2 +1,2 @@
-/** Milliseconds of silence after which what a host or a zone lets through counts as unknown. */
+/** Milliseconds without a report after which the usage of a host or a zone is treated as unknown. */
 export const SILENCE_MS = 1_500
--- a/packages/almondrelay-gateway/src/process/organisations/useExchange.ts
+++ b/packages/almondrelay-gateway/src/process/organisations/useExchange.ts
@@ -6,11 +6,11 @@
 import { encodeUseReport } from './encodeUseReport.js'
 import type { UseReport } from './useReport.js'
 
-/** Milliseconds between reports: what all hosts let through in this time is known to none of the others. */
+/** Milliseconds between reports. Requests that a host admits within one interval are not yet known to any other host. */
 const REPORT_MS = 250
-/** The same where there is nothing to tell: others still have to know that this host is there. */
+/** Milliseconds between reports while no counts have changed. They are still sent, so that peers know that this host is running. */
 const CALM_REPORT_MS = 500
-/** Bytes a second that a host may spend on these reports, of the 12 KB a second for all its control traffic. */
+/** Maximum bytes per second that a host sends in these reports, out of 12 KB per second for all its control traffic. */
 const BYTES_PER_SECOND = 9_000
 
 interface ExchangeParts {
@@ -22,24 +22,30 @@
   sleep: (ms: number, signal: AbortSignal) => Promise<void>
 }
 
-/** Tells the other hosts what came to this one of the organisations' requests, sums up where this host does so for its zone, and takes in what they tell. */
+/**
+ * Sends this host's counts of organisations' requests to the aggregators of its zone and applies the reports that it receives. If this
+ * host is an aggregator itself, it also sends its zone's sum to the other zones and the sum of all zones to the hosts of its zone.
+ */
 export class UseExchange {
   private sequence = 0
   private calmSentAt = -Infinity
 
   constructor (private readonly parts: ExchangeParts) {}
 
-  /** Sends reports until the signal aborts; the more receivers there are, the longer the pause, so that the bytes a second stay bounded. */
+  /** Sends reports until the signal aborts. The interval grows with the number of receivers, which keeps the bytes per second bounded. */
   async run (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const bytes = this.parts.allowances.areNeeded ? this.sendRound() : 0
-      // Also where there are no limits yet: a host that has just started learns of them a moment later, and with a longer pause
-      // lets all through by itself while nobody hears of it.
+      // The interval is the same while no organisation has a limit. A host that has just started learns of the limits a moment later;
+      // with a longer interval it would admit requests meanwhile that no other host knows of.
       await this.parts.sleep(Math.max(REPORT_MS, bytes / BYTES_PER_SECOND * 1_000), signal)
     }
   }
 
-  /** What is said here decides who is refused: it counts only from a host, of its own zone. */
+  /**
+   * Applies a report if its sender is a known host of the zone that it names. Reports decide which requests are refused, so others are
+   * ignored.
+   */
   handleReport (report: UseReport, ip: string): void {
     const { view, allowances, getNow } = this.parts
     if (view.findSender(report, ip)?.availabilityZone === report.availabilityZone) allowances.hear(report, getNow())
@@ -63,7 +69,7 @@
     return this.send(view.listFarSumming(now), { zone }) + this.send(view.listZonePeers(now), { fleet })
   }
 
-  /** Returns the bytes that it takes. */
+  /** Sends one report to all given hosts but this one, and returns the bytes sent, headers included. */
   private send (entries: readonly HostEntry[], content: Partial<UseReport>): number {
     const { own, socket } = this.parts
     const receivers = entries.filter(({ name }) => name !== own.name)
--- a/packages/almondrelay-gateway/src/process/organisations/useReport.ts
+++ b/packages/almondrelay-gateway/src/process/organisations/useReport.ts
@@ -2,17 +2,17 @@
 import type { UseTotals } from '../../request/useTotals.js'
 import type { ZoneUse } from './zoneUse.js'
 
-/** What a host tells another one of the organisations' requests. */
+/** A report of organisations' allowance usage from one host to another. */
 export interface UseReport {
   host: string
   incarnation: string
   availabilityZone: string
-  /** Rises with each report of one incarnation. */
+  /** Increases with each report of the same incarnation. */
   sequence: number
-  /** Of the sender alone, by the hash of the organisation's name; only those that changed of late. */
+  /** Counts of the sender alone, by the hash of the organisation's name; only those that changed recently. */
   totals: ReadonlyMap<number, UseTotals>
-  /** Of the sender's zone, to the summing hosts of the other zones. */
+  /** Usage in the sender's zone, sent to the aggregators of the other zones. */
   zone: ZoneUse | undefined
-  /** Of all zones, to the hosts of the sender's zone. */
+  /** Usage in all zones, sent to the hosts of the sender's zone. */
   fleet: FleetUse | undefined
 }
--- a/packages/almondrelay-gateway/src/process/organisations/zoneUse.ts
+++ b/packages/almondrelay-gateway/src/process/organisations/zoneUse.ts
@@ -1,11 +1,11 @@
 import type { KnownUse } from '../../request/knownUse.js'
 
-/** The organisations' requests at the hosts of one availability zone. */
+/** Allowance usage of organisations at the hosts of one availability zone. */
 export interface ZoneUse {
-  /** Hosts whose requests are in it. */
+  /** Number of hosts whose requests are included. */
   hosts: number
-  /** Milliseconds of the window in which the sender didn't listen yet, so that what was let through then isn't in it. */
+  /** Milliseconds at the start of the window in which the sender didn't receive reports yet; requests admitted then are not included. */
   unseenMs: number
-  /** By the hash of the organisation's name; organisations that are far from their limit are left out. */
+  /** Usage by the hash of the organisation's name. Organisations that are far below their limit are left out. */
   uses: ReadonlyMap<number, KnownUse>
 }
--- a/packages/almondrelay-gateway/src/process/peers/__tests__/peerExchange.test.ts
+++ b/packages/almondrelay-gateway/src/process/peers/__tests__/peerExchange.test.ts
@@ -19,7 +19,7 @@
 const makeEntry = (name: string, region = 'akl'): HostEntry => ({ name, incarnation: 'i1', availabilityZone: `${region}-a`, region, ip: ADDRESS, callerPort: 1, peerPort: 2 })
 const makeReport = (host: string, sequence: number, content: Partial<PeerReport> = {}): PeerReport => ({ host, incarnation: 'i1', region: 'akl', sequence, isLeaving: false, configurationVersion: 1, storeRevision: 5, isRegional: false, declaredRevision: 0, notableRevision: 0, storeAgeMs: 0, inFlight: new Map(), demands: [], changes: undefined, ...content })
 
-/** One host among others of its region, with what it sends and what it takes for the word of a watcher. */
+/** One host in a fleet. Records the reports that it sends, and the reports and changes that it accepts from watchers. */
 class ExchangeRig {
   readonly fleet = new FleetState({ targetRemoved: () => undefined, targetRestarted: () => undefined, hostRemoved: () => undefined })
   readonly sent: PeerReport[] = []
@@ -52,9 +52,9 @@
   }
 }
 
-// A peer's requests at one target end and others begin at another. A count that stays behind makes a free target look full
-// for as long as the process lives; each report is worked on by what it and the one before it name.
-test('a report replaces all counts of the one before it', () => {
+// Guards against counts that are never reset. A peer's requests end at one target and others begin at another; only targets in the new
+// or the previous report are visited. A stale count would make a free target look full for as long as the process runs.
+test('a report replaces all counts of the previous report', () => {
   const rig = new ExchangeRig()
   const targets = ['1', '2', '3'].map((id, index) => makeTarget({ id, port: index + 1 }))
   for (const { entry } of targets) rig.fleet.putTarget(entry, 0)
@@ -69,7 +69,7 @@
   assert.equal(['1', '2', '3'].map(count), [2, 4, 1], 'an older report')
 })
 
-test('counts at the life before say nothing of a target that was started again', () => {
+test('counts for the previous incarnation don\'t apply to a target that was restarted', () => {
   const rig = new ExchangeRig()
   const { entry } = makeTarget({ id: '1', incarnation: 1 })
   rig.fleet.putTarget(entry, 0)
@@ -79,9 +79,9 @@
   assert.is(rig.fleet.findTarget('1')?.countOutstanding(0), 0)
 })
 
-// Anybody may send to the port. Changes of the store decide where every request goes: they count only from one of the hosts
-// that watch for the region, in its present life and from an address of the region's hosts.
-test('the word of a watcher counts from addresses of its region and in its present life alone', () => {
+// Guards against forged reports: anybody can send to the port, and changes of the store decide where every request is sent. They are
+// accepted only from a watcher of the region, of its current incarnation and from an address of one of the region's hosts.
+test('a watcher\'s report is accepted only from addresses of its region and of its current incarnation', () => {
   const rig = new ExchangeRig()
   for (const name of ['a', 'b', 'c']) rig.hear(makeReport(name, 1))
   rig.watched.length = 0
@@ -94,9 +94,9 @@
   assert.equal(rig.watched.map(({ host }) => host), ['a'])
 })
 
-// The entries of a thousand targets come at once. Sent to each of 64 hosts by the watcher itself, they fill its link, and
-// its own calls to the store find no room; every group of hosts passes them on among its own.
-test('changes reach every host of the region once, by one host of each group', () => {
+// Guards against a watcher that fills its own link. When a thousand targets' entries arrive at once and the watcher sends them to each of
+// 64 hosts itself, its calls to the store get no bandwidth. One host of each group forwards them to the rest of its group.
+test('changes reach every host of the region once, through one host of each group', () => {
   const rig = new ExchangeRig()
   for (let index = 0; index < 30; index += 1) rig.fleet.putHost(makeEntry(`near-${index}`))
   rig.exchange.relay(CHANGES)
@@ -107,7 +107,7 @@
   assert.not(passedOn.some((name) => name === 'own' || name === 'far'))
 })
 
-test('a host passes changes on to those that the watcher names, and takes them itself', () => {
+test('a host accepts changes and forwards them to the hosts that the watcher names', () => {
   const rig = new ExchangeRig()
   for (const name of ['a', 'b']) rig.hear(makeReport(name, 1))
   rig.hear(makeReport('a', 2, { changes: { ...CHANGES, forwardTo: ['b', 'c', 'unknown'] } }))
@@ -115,7 +115,7 @@
   assert.is(rig.sent.length, 2)
   for (const report of rig.sent) assert.equal(report.changes, CHANGES)
   rig.hear(makeReport('a', 1, { changes: CHANGES }))
-  assert.is(rig.accepted.length, 2, 'changes that came behind a later report')
+  assert.is(rig.accepted.length, 2, 'changes that arrived after a newer report')
   rig.hear(makeReport('c', 2, { changes: { ...CHANGES, forwardTo: ['b'] } }))
   assert.is(rig.accepted.length, 2, 'from a host that does not watch')
   assert.is(rig.sent.length, 2)
--- a/packages/almondrelay-gateway/src/process/peers/__tests__/peerSocket.test.ts
+++ b/packages/almondrelay-gateway/src/process/peers/__tests__/peerSocket.test.ts
@@ -5,8 +5,8 @@
 
 const test = suite('PeerSocket')
 
-// Guards against a datagram that ends each host that reads it: it comes again after the restart.
-test('a datagram at which its handling throws does not keep the next one out', async () => {
+// Guards against a datagram that crashes every host that reads it, again after each restart.
+test('a datagram whose handler throws does not prevent the next one from being handled', async () => {
   const errors: Error[] = []
   const stop = new AbortController()
   const probe = createSocket('udp4')
@@ -16,7 +16,7 @@
   const socket = new PeerSocket((error) => { errors.push(error) })
   const received = new Promise<string>((resolve, reject) => {
     socket.listen('127.0.0.1', port, (bytes) => {
-      if (bytes.length === 1) throw new Error('not to be dealt with')
+      if (bytes.length === 1) throw new Error('cannot be handled')
       resolve(Buffer.from(bytes).toString())
     }, stop.signal).catch(reject)
   })
@@ -29,7 +29,7 @@
   clearInterval(timer)
   sender.close()
   stop.abort()
-  assert.is(errors[0]?.message, 'not to be dealt with')
+  assert.is(errors[0]?.message, 'cannot be handled')
 })
 
 test.run()
--- a/packages/almondrelay-gateway/src/process/peers/__tests__/peerView.test.ts
+++ b/packages/almondrelay-gateway/src/process/peers/__tests__/peerView.test.ts
@@ -19,30 +19,30 @@
 }
 const listNames = (view: PeerView, now: number): string[] => view.listLive(now).map(({ name }) => name)
 
-// Anybody may send reports under names of their own, each a new one: none is taken for a host, and memory stays bounded.
-test('reports of names that have no entry make no host and no end of memory', () => {
+// Guards against unbounded memory: anybody can send reports, each under a new name.
+test('reports under names without an entry add no host, and their number in memory is bounded', () => {
   const view = build()
   view.hear(makeReport('a', 1), 0)
   for (let index = 0; index < 12_000; index += 1) view.hear(makeReport(`stranger-${index}`, 1), 0)
   view.hear(makeReport('b', 1), 0)
   assert.equal(listNames(view, 10), ['own', 'a', 'b'])
-  assert.ok(view.countHeard() <= 10_000, `${view.countHeard()} senders are remembered`)
+  assert.ok(view.countHeard() <= 10_000, `${view.countHeard()} senders are kept`)
 })
 
-// Both hosts that watch the store for their region are cut off from it, or die. The others must notice before the time
-// within which a target that leaves must be known, and ask the store themselves.
-test('watchers are relied on while one of them was heard and confirmed lately, in regions of many hosts', () => {
+// Guards against missed changes when both watchers of a region exit or are cut off from the store. The other hosts must notice this,
+// and still have time to ask the store, before the bound within which a target that leaves must be known.
+test('hosts rely on watchers while one of them has reported and was confirmed recently, in large regions', () => {
   const fleet = new FleetState({ targetRemoved: () => undefined, targetRestarted: () => undefined, hostRemoved: () => undefined })
   const names = ['a', 'b', 'c', 'd', 'e', 'f', 'g', 'own']
   for (const name of names) fleet.putHost(makeEntry(name))
   const view = new PeerView(makeEntry('own'), fleet)
   const hear = (name: string, sequence: number, storeAgeMs: number, now: number) => view.hear({ ...makeReport(name, sequence), storeAgeMs }, now)
   const isReliable = (now: number) => view.hasReliableWatchers(2_500, now)
-  assert.not(isReliable(0), 'nobody was heard')
+  assert.not(isReliable(0), 'no reports yet')
   for (const name of names) hear(name, 1, 1_000, 0)
   assert.ok(isReliable(400))
-  // Half a second of the bound is left for asking: a look each 0.2 s and a call over two trips of 55 ms.
-  assert.not(isReliable(1_000), 'both silent for too long')
+  // Half a second of the bound is left for asking the store: a check every 0.2 s and a call over two trips of 55 ms each.
+  assert.not(isReliable(1_000), 'no report from either for too long')
   hear('c', 2, 0, 1_100)
   assert.not(isReliable(1_100), 'a host that does not watch')
   hear('b', 2, 0, 1_100)
@@ -55,9 +55,10 @@
   assert.not(isReliable(1_400), 'few hosts: each watches')
 })
 
-// Hosts are cut off from the store for twelve seconds; after four their leases end and their entries go, though their callers
-// stay with them. Taken for gone, they leave the whole of an organisation's limit to the others, and use their part besides.
-test('a host whose entry goes without its leave may still serve; one that took its leave or came back does not count twice', () => {
+// Guards against exceeding an organisation's limit while hosts are cut off from the store. In a cut of twelve seconds their leases end
+// and their entries are removed after four, but they keep their callers. If they counted as exited, the others would use the whole
+// limit, and they their share in addition.
+test('a host whose entry is removed without an announcement still counts; one that announced its leave or came back does not count twice', () => {
   const fleet = new FleetState({ targetRemoved: () => undefined, targetRestarted: () => undefined, hostRemoved: (entry) => { view.observeGone(entry, 1_000) } })
   const view = new PeerView(makeEntry('own'), fleet)
   for (const name of ['own', 'cut', 'leaving']) fleet.putHost(makeEntry(name))
@@ -70,10 +71,10 @@
   fleet.putHost(makeEntry('cut'))
   assert.is(view.countPossibleHosts(25_000), 2)
   fleet.removeHost('cut')
-  assert.is(view.countPossibleHosts(40_000), 1, 'gone for longer than any cut that was seen')
+  assert.is(view.countPossibleHosts(40_000), 1, 'lost for longer than any observed cut')
 })
 
-test('hosts that know the same hosts name the same two of each zone to sum up', () => {
+test('hosts that know the same hosts choose the same two aggregators of each zone', () => {
   const fleet = new FleetState({ targetRemoved: () => undefined, targetRestarted: () => undefined, hostRemoved: () => undefined })
   const view = new PeerView(makeEntry('c'), fleet)
   for (const name of ['d', 'c', 'b', 'a']) fleet.putHost(makeEntry(name))
@@ -83,14 +84,14 @@
   assert.ok(view.isSumming(0))
 })
 
-// Both watchers of a region hand on every change: each host gets all of them twice. The second one only stands in.
-test('one watcher hands changes on, the second where the first is silent or cut off from the store', () => {
+// Guards against relaying every change twice, once by each of the two watchers.
+test('the first watcher relays changes; the second does so if the first sends no reports or is cut off from the store', () => {
   const view = build()
   for (const name of ['a', 'b']) view.hear(makeReport(name, 1), 0)
-  assert.not(view.isRelay(1_000), 'the first of the region is heard')
-  assert.ok(view.isRelay(2_600), 'it has gone silent')
+  assert.not(view.isRelay(1_000), 'the first watcher has reported recently')
+  assert.ok(view.isRelay(2_600), 'the first watcher has stopped reporting')
   view.hear({ ...makeReport('a', 2), storeAgeMs: 4_000 }, 2_700)
-  assert.ok(view.isRelay(2_700), 'it does not reach the store')
+  assert.ok(view.isRelay(2_700), 'the first watcher does not reach the store')
   view.hear(makeReport('a', 3), 2_800)
   assert.not(view.isRelay(2_800))
   view.hear(makeReport('a', 4, true), 2_900)
@@ -98,9 +99,9 @@
   assert.ok(view.isRelay(2_900), 'this host is the first')
 })
 
-// A host is killed; its entry stands until its lease lapses, or as long as the store is away. A look-up
-// that names it sends callers into nothing.
-test('a host that has gone silent is not named while others are heard', () => {
+// Guards against look-ups that direct callers to a killed host. Its entry remains until its lease lapses, or for as long as the store
+// is unavailable.
+test('a host that has stopped reporting is not listed while other hosts report', () => {
   const view = build()
   view.hear(makeReport('a', 1), 0)
   view.hear(makeReport('b', 1), 0)
@@ -109,13 +110,13 @@
   assert.equal(listNames(view, 4_000), ['own', 'a'])
 })
 
-test('a host that hears nobody goes by the entries: it is the one that is cut off', () => {
+test('a host that receives no reports lists hosts by their entries, as it is probably cut off itself', () => {
   const view = build()
   view.hear(makeReport('a', 1), 0)
   assert.equal(listNames(view, 60_000), ['own', 'a', 'b'])
 })
 
-test('a host that says that it leaves is not named from then on', () => {
+test('a host that announces that it leaves is no longer listed', () => {
   const view = build()
   view.hear(makeReport('a', 1), 0)
   view.hear(makeReport('b', 1, true), 0)
@@ -129,7 +130,7 @@
   assert.ok(listNames(view, 10).includes('a'))
 })
 
-test('hosts of other regions count by their entries, and speak through two of theirs', () => {
+test('the demand of another region is taken from its regional report', () => {
   const view = build()
   const far = { ...makeReport('far', 1), region: 'wlg', isRegional: true, demands: [{ service: 's', perSecond: 40, warmMs: 100, coldMs: 300, parts: new Map() }] }
   assert.ok(view.hear(far, 0))
@@ -138,7 +139,7 @@
   assert.equal(view.listDemands(10_000), [])
 })
 
-test('two hosts of a region speak for it; a host that hears nobody speaks for itself', () => {
+test('a region has two representatives; a host that receives no reports acts as one', () => {
   const view = build()
   assert.ok(view.isSpeaker(0))
   view.hear(makeReport('a', 1), 0)
@@ -146,7 +147,7 @@
   assert.not(view.isSpeaker(0), 'a and b come first by name')
 })
 
-test('a report reads as it was written, and other bytes are none', () => {
+test('a report decodes to what was encoded, and invalid bytes are rejected', () => {
   const report = { ...makeReport('a', 3), demands: [{ service: 's', perSecond: 2, warmMs: 64, coldMs: 300, parts: new Map([['akl', 0.5]]) }] }
   assert.equal(decodeLoad(encodeReport(report)), report)
   assert.is(decodeLoad(Buffer.from('nonsense')), undefined)
--- a/packages/almondrelay-gateway/src/process/peers/__tests__/splitChanges.test.ts
+++ b/packages/almondrelay-gateway/src/process/peers/__tests__/splitChanges.test.ts
@@ -9,13 +9,13 @@
 const MOST_BYTES = 200
 const write = (revision: number, bytes: number): StoreEvent => ({ kind: 'written', item: { key: `target/${revision}`, value: Buffer.alloc(bytes), revision, createdRevision: 1 } })
 
-test('changes that fit go in one part', () => {
+test('changes that fit make one chunk', () => {
   const changes = { afterRevision: 4, upToRevision: 9, events: [write(5, 10), write(7, 10)], forwardTo: [] }
   assert.equal(splitChanges(changes, MOST_BYTES), [changes])
 })
 
-// A datagram is lost among several. Its receiver must see that something is missing between those that came.
-test('parts name the one before them, hold every change once and in order, and end where the whole does', () => {
+// Guards against an unnoticed gap: when one of several datagrams is lost, the receiver must see that changes are missing.
+test('each chunk names the previous one\'s end; together the chunks hold every change once, in order and up to the same revision', () => {
   fc.assert(fc.property(fc.array(fc.nat(150), { minLength: 1, maxLength: 40 }), (sizes) => {
     const events = sizes.map((bytes, index) => write(10 + index * 2, bytes))
     const parts = splitChanges({ afterRevision: 3, upToRevision: 1_000, events, forwardTo: [] }, MOST_BYTES)
@@ -26,9 +26,9 @@
   }), { seed: SEED, numRuns: 300 })
 })
 
-// A configuration of a hundred kilobytes changes. No datagram carries it; what was before it is handed on, and everybody
-// who has the word of a newer revision asks the store for the rest.
-test('a change that fits into no part ends the list before it', () => {
+// Guards against a change that is too large for any datagram, such as a configuration of a hundred kilobytes. The changes before it are
+// relayed, and hosts that receive a report with a newer revision ask the store for the rest.
+test('the list ends before a change that is too large for a chunk', () => {
   const parts = splitChanges({ afterRevision: 3, upToRevision: 20, events: [write(5, 10), write(6, 500), write(7, 10)], forwardTo: [] }, MOST_BYTES)
   assert.is(parts.length, 1)
   assert.is(parts[0]?.upToRevision, 5)
--- a/packages/almondrelay-gateway/src/process/peers/computeMeanTimes.ts
+++ b/packages/almondrelay-gateway/src/process/peers/computeMeanTimes.ts
@@ -1,7 +1,7 @@
 import type { WorkTimes } from '../../request/workTimes.js'
 import type { ServiceDemand } from './serviceDemand.js'
 
-/** Times of work that several hosts have measured; each counts by its requests, and all alike where there are none. */
+/** Computes the mean of the work times measured by several hosts, weighted by their request rates, or unweighted without requests. */
 export function computeMeanTimes (demands: readonly ServiceDemand[]): WorkTimes {
   const requests = demands.reduce((sum, { perSecond }) => sum + perSecond, 0)
   const weigh = ({ perSecond }: ServiceDemand): number => requests > 0 ? perSecond / requests : 1 / demands.length
--- a/packages/almondrelay-gateway/src/process/peers/datagramOverhead.ts
+++ b/packages/almondrelay-gateway/src/process/peers/datagramOverhead.ts
@@ -1,2 +1,2 @@
-/** Bytes of headers around each datagram. */
+/** Bytes of the IP and UDP headers of a datagram. */
 export const DATAGRAM_OVERHEAD = 28
--- a/packages/almondrelay-gateway/src/process/peers/decodeDatagram.ts
+++ b/packages/almondrelay-gateway/src/process/peers/decodeDatagram.ts
@@ -6,7 +6,7 @@
 import { decodeReport } from './decodeReport.js'
 import type { PeerMessage } from './peerMessage.js'
 
-/** What a host says in a datagram; undefined where it can't be a host's word: anybody may send to the port. */
+/** Decodes a datagram from another host. Returns undefined if it isn't a valid message, as anybody can send to the port. */
 export function decodeDatagram (bytes: Uint8Array): PeerMessage | undefined {
   try {
     return decodeContent(fromBinary(PeerDatagramSchema, bytes).content)
--- a/packages/almondrelay-gateway/src/process/peers/decodeReport.ts
+++ b/packages/almondrelay-gateway/src/process/peers/decodeReport.ts
@@ -4,10 +4,10 @@
 import { decodeValue } from './decodeValue.js'
 import type { PeerReport } from './peerReport.js'
 
-/** Bytes of a host's name and of a region's; longer ones aren't ours. */
+/** Maximum length of a host's or region's name. Reports with longer names are rejected, as they can't come from a host. */
 const LONGEST_NAME = 200
 
-/** What a host tells of its load; undefined where it can't be a host's word: anybody may send to the port. */
+/** Decodes a host's load report. Returns undefined if it isn't valid, as anybody can send to the port. */
 export function decodeReport (message: LoadReport): PeerReport | undefined {
   if (!isNamed(message) || !hasRevisions(message) || !message.demands.every(isMeasured)) return undefined
   return {
@@ -41,7 +41,7 @@
 
 const isRevision = (value: number): boolean => Number.isSafeInteger(value) && value >= 0
 
-/** Revisions that rise from the one before the first change to the one that is known with the last. */
+/** Returns whether the revisions never decrease, from the one before the first change to the one that is known with the last change. */
 const isOrdered = ({ afterRevision, upToRevision, changes }: StoreChanges): boolean => {
   const revisions = [...changes.map(({ revision }) => revision), upToRevision]
   return isRevision(afterRevision) && changes.every(({ createdRevision }) => isRevision(createdRevision)) &&
@@ -54,6 +54,6 @@
   ? { kind: 'deleted', key, revision }
   : { kind: 'written', item: { key, revision, createdRevision, value: decodeValue(value, deflated) } }
 
-/** Numbers that can be counted with: one that isn't finite would spoil every sum that it goes into. */
+/** Returns whether all numbers are finite and not negative. A number that isn't finite would make every sum that includes it useless. */
 const isMeasured = ({ perSecond, warmMs, coldMs, parts }: LoadReport['demands'][number]): boolean =>
   [perSecond, warmMs, coldMs, ...parts.map(({ part }) => part)].every((value) => Number.isFinite(value) && value >= 0)
--- a/packages/almondrelay-gateway/src/process/peers/encodeValue.ts
+++ b/packages/almondrelay-gateway/src/process/peers/encodeValue.ts
@@ -1,6 +1,6 @@
 import { deflateRawSync } from 'node:zlib'
 
-/** Bytes from which on a value is compressed: smaller ones, as targets' entries, come often and gain next to nothing. */
+/** Minimum size at which a value is compressed. Smaller values, such as targets' entries, are frequent and compress hardly at all. */
 const LEAST_DEFLATED_BYTES = 1_000
 
 interface EncodedValue {
@@ -8,7 +8,7 @@
   deflated: boolean
 }
 
-/** A value in the form in which it is handed on: compressed where that makes it fit into a datagram. */
+/** Encodes a value for a datagram, compressed if it has at least MIN_DEFLATED_BYTES, so that long values fit too. */
 export function encodeValue (value: Buffer): EncodedValue {
   return value.byteLength < LEAST_DEFLATED_BYTES ? { value, deflated: false } : { value: deflateRawSync(value), deflated: true }
 }
--- a/packages/almondrelay-gateway/src/process/peers/liveHosts.ts
+++ b/packages/almondrelay-gateway/src/process/peers/liveHosts.ts
@@ -4,33 +4,41 @@
 import type { PeerReport } from './peerReport.js'
 import type { PeerState } from './peerState.js'
 
-/** Milliseconds of silence after which a peer isn't taken for live, though its entry still stands. */
+/** Milliseconds without a report after which a peer no longer counts as live, even if its entry is still in the store. */
 const SILENCE_MS = 3_000
-/** Milliseconds for which an entry alone is word enough: its host may not have reported yet. */
+/** Milliseconds for which a new entry alone makes a host count as live, because the host may not have sent a report yet. */
 const ENTRY_TRUST_MS = 3_000
-/** Hosts of a region that speak for it to the other regions and watch the store with short waits. */
+/**
+ * Number of representatives of a region: they send its reports to the other regions and, as its watchers, watch the store with short
+ * waits.
+ */
 const SPEAKERS = 2
-/** Hosts of an availability zone that sum up what its hosts tell: two, so that one that ends or stands still leaves no gap. */
+/** Number of hosts of an availability zone that aggregate its hosts' reports: two, so that there is no gap when one exits or hangs. */
 const SUMMING_HOSTS = 2
 
-/** Milliseconds for which a list of live hosts holds while nothing is heard that changes it: requests and look-ups ask for it. */
+/** Milliseconds for which the lists of live hosts are reused if no report changes them, as each request and look-up needs them. */
 const LIST_LIFE_MS = 250
 
-/** Which hosts are taken for live, and which of them do what for the others. */
+/** Determines which hosts are live, and which of them are representatives of this region or aggregators of their zones. */
 export class LiveHosts {
-  /** Grows with each report that changes who is live. */
+  /** Incremented by each report that changes which hosts are live. */
   private changes = 0
   private lists: LiveLists | undefined
   private readonly firstSeenAt = new Map<string, { incarnation: string, at: number }>()
 
-  /** @param peers what was last heard of each host, kept up by the caller */
+  /** @param peers last report of each host, kept up to date by the caller */
   constructor (private readonly own: HostEntry, private readonly fleet: FleetState, private readonly peers: ReadonlyMap<string, PeerState>) {}
 
-  /** @param known what was heard of the sender before; undefined where nothing was */
+  /**
+   * Registers a report, which may change which hosts are live.
+   *
+   * @param known state from the sender's previous report; undefined before its first one
+   */
   observeReport (known: PeerState | undefined, report: PeerReport, now: number): void {
     if (known === undefined || now - known.heardAt > SILENCE_MS || known.report.isLeaving !== report.isLeaving) this.changes += 1
   }
 
+  /** Returns the lists for the present time, recomputed if they are outdated. */
   find (now: number): LiveLists {
     const { lists, changes, fleet: { hostsRevision } } = this
     if (lists !== undefined && lists.changes === changes && lists.hostsRevision === hostsRevision && now - lists.madeAt < LIST_LIFE_MS) return lists
@@ -39,15 +47,17 @@
     return made
   }
 
-  /** Entries of the hosts of this region, this one's included. */
+  /** Returns the entries of the hosts of this region, including this host. */
   listNear (): HostEntry[] {
     return this.fleet.listHosts().filter((entry) => entry.region === this.own.region)
   }
 
+  /** Returns whether any other host of this region has reported recently. */
   hasHeardNear (now: number): boolean {
     return this.listNear().some((entry) => entry.name !== this.own.name && this.hasHeard(entry, now))
   }
 
+  /** Returns whether a host has reported within REPORT_TIMEOUT_MS. */
   hasHeard (entry: HostEntry, now: number): boolean {
     const peer = this.peers.get(entry.name)
     return peer !== undefined && now - peer.heardAt <= SILENCE_MS
@@ -71,7 +81,7 @@
     }
   }
 
-  // A host that hears nobody is more likely cut off itself than the last one alive: it then goes by the entries.
+  // A host that receives no reports is more likely cut off itself than the last live host; it then relies on the entries in the store.
   private isLive (entry: HostEntry, now: number, isAlone: boolean): boolean {
     const peer = this.peers.get(entry.name)
     if (peer?.report.isLeaving === true && peer.incarnation === entry.incarnation) return false
@@ -84,7 +94,7 @@
   }
 }
 
-/** The first hosts of each availability zone by name. */
+/** Returns the first hosts of each availability zone by name. */
 const listFirst = (hosts: readonly HostEntry[], most: number): Map<string, HostEntry[]> => {
   const byZone = new Map<string, HostEntry[]>()
   for (const entry of [...hosts].sort((one, other) => one.name < other.name ? -1 : 1)) {
--- a/packages/almondrelay-gateway/src/process/peers/liveLists.ts
+++ b/packages/almondrelay-gateway/src/process/peers/liveLists.ts
@@ -1,18 +1,19 @@
 import type { HostEntry } from '../fleet/hostEntry.js'
 
-/** Lists made of the hosts that were live at one time. */
+/** Lists computed from the hosts that were live at one time. */
 export interface LiveLists {
-  /** Monotonic milliseconds. */
+  /** Time at which the lists were computed, in monotonic milliseconds. */
   madeAt: number
+  /** Number of reports that had changed which hosts are live. */
   changes: number
   hostsRevision: number
   live: HostEntry[]
   /** Addresses of the hosts of this region. */
   nearAddresses: ReadonlySet<string>
-  /** Names of the hosts of this region that speak for it and watch the store. */
+  /** Names of this region's representatives, which report for it to the other regions and are its watchers of the store. */
   speakers: readonly string[]
-  /** Hosts of each availability zone that sum up what its hosts tell. */
+  /** Hosts that aggregate the reports of their availability zone, by zone. */
   summing: ReadonlyMap<string, readonly HostEntry[]>
-  /** Names of the hosts that share the work on the targets of each region that was asked for. */
+  /** Names of the hosts that send requests to the targets of a region, by region; filled when a region is first asked for. */
   senders: Map<string, readonly string[]>
 }
--- a/packages/almondrelay-gateway/src/process/peers/lostHosts.ts
+++ b/packages/almondrelay-gateway/src/process/peers/lostHosts.ts
@@ -2,14 +2,14 @@
 import type { FleetState } from '../fleet/fleetState.js'
 
 /**
- * Milliseconds for which a host whose entry has gone may still serve callers: its lease ends too when it is cut off from the
- * store. One that is started again or takes its leave is known at once.
+ * Milliseconds for which a host may still serve callers after its entry has been removed: its lease also ends when it is only cut off
+ * from the store. A host that restarts or announces that it leaves needs no such time, as this is known at once.
  */
 const LOST_MS = 30_000
-/** Names that are remembered: twice the hosts of the largest fleet. */
+/** Maximum names kept: twice the hosts of the largest fleet. */
 const MOST_LOST = 10_000
 
-/** Hosts whose entries went from the store without their leave, and that may still serve callers. */
+/** Hosts whose entries were removed from the store without an announcement that they leave, and that may still serve callers. */
 export class LostHosts {
   private readonly lostAt = new Map<string, number>()
 
@@ -19,6 +19,7 @@
     putBounded(this.lostAt, name, now, MOST_LOST)
   }
 
+  /** Returns the number of such hosts, and forgets those that came back or were lost more than LOST_HOST_RETENTION_MS ago. */
   count (now: number): number {
     for (const [name, at] of this.lostAt) {
       if (now - at > LOST_MS || this.fleet.findHost(name) !== undefined) this.lostAt.delete(name)
--- a/packages/almondrelay-gateway/src/process/peers/peerExchange.ts
+++ b/packages/almondrelay-gateway/src/process/peers/peerExchange.ts
@@ -16,20 +16,23 @@
 const NEAR_INTERVAL_MS = 100
 /** Milliseconds between reports that also carry demands, to the same hosts. */
 const DEMAND_INTERVAL_MS = 1_000
-/** The same in regions of many hosts, where demands are most of what reading reports takes. */
+/** The same interval in large regions, where demands cause most of the work of reading reports. */
 const MANY_DEMAND_INTERVAL_MS = 2_000
-/** Milliseconds between the words of a region's speakers to all hosts of the others. */
+/** Milliseconds between the reports that a region's representatives send to all hosts of the other regions. */
 const FAR_INTERVAL_MS = 2_000
-/** Bytes a second that a host may spend on reports, of the 12 KB a second for all its control traffic. */
+/** Maximum bytes per second that a host sends in reports, out of 12 KB per second for all its control traffic. */
 const BYTES_PER_SECOND = 9_000
-/** Milliseconds above which an age says nothing more. */
+/** Maximum age that is reported, in milliseconds; larger ages make no difference to receivers. */
 const LONGEST_AGE_MS = 3_600_000
 /**
- * Bytes of changes in one datagram. Longer ones are cut up on the way, and with one part all of it is lost; then the receiver
- * asks the store, as for a change that fits into none.
+ * Maximum bytes of changes in one datagram. Longer datagrams are fragmented on the way, and the loss of one fragment loses the whole
+ * datagram. Receivers then ask the store for the changes, as they do for a change that is too large for any datagram.
  */
 const MOST_CHANGE_BYTES = 8_000
-/** Hosts in a group, of which the first gets changes from the watcher and passes them on: a watcher's own link is small. */
+/**
+ * Hosts in a group. A watcher sends changes only to the first host of each group, which forwards them, because the watcher's link is
+ * small.
+ */
 const GROUP_SIZE = 8
 
 interface ExchangeParts {
@@ -42,17 +45,17 @@
   isLeaving: () => boolean
   /** Revision of the operators' resources in force here. */
   getDeclaredRevision: () => number
-  /** Called with the revision of the store that a peer knows, and with the last one that decides something. */
+  /** Called with the revision of the store that a peer knows, and with the revision of the last change that affects its decisions. */
   hearRevision: (revision: number, notableRevision: number, now: number) => void
-  /** Called with changes that a host which watches the store for this region hands on. */
+  /** Called with changes that a watcher of this region relays. */
   acceptRelayed: (changes: RelayedChanges) => void
-  /** Called with the word of such a host on what it knows. */
+  /** Called with a report of a watcher of this region that contains no changes. */
   hearWatcher: (report: PeerReport, now: number) => void
 }
 
 type ReportContent = Pick<PeerReport, 'isRegional' | 'demands' | 'declaredRevision' | 'changes'>
 
-/** Tells the other hosts what this one has running, and takes in what they tell. */
+/** Sends load reports to the other hosts, applies the reports received from them, and relays changes of the store within the region. */
 export class PeerExchange {
   private sequence = 0
   private demandsSentAt = -Infinity
@@ -60,7 +63,7 @@
 
   constructor (private readonly parts: ExchangeParts) {}
 
-  /** Sends reports until the signal aborts; the more peers there are, the longer the pause, so that the bytes a second stay bounded. */
+  /** Sends reports until the signal aborts. The interval grows with the number of peers, which keeps the bytes per second bounded. */
   async run (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const bytes = this.sendRound()
@@ -69,13 +72,17 @@
     }
   }
 
-  /** @param ip address from which it came */
+  /**
+   * Applies a report, and forwards the changes in it if its sender is a watcher that asks for this.
+   *
+   * @param ip address from which the report was sent
+   */
   handleReport (report: PeerReport, ip: string): void {
     const { own, fleet, view, getNow, hearRevision } = this.parts
     if (report.host === own.name) return
     const now = getNow()
     const isWatcher = report.region === own.region && view.isWatcher(report, ip, now)
-    // Changes count also in a report that came behind a later one: their revisions tell their order.
+    // Changes are accepted even in a report that arrives after a newer one, because their revisions define their order.
     if (isWatcher && report.changes !== undefined) {
       this.parts.acceptRelayed(report.changes)
       this.passOn(report, report.changes)
@@ -89,10 +96,10 @@
     if (isWatcher && report.changes === undefined) this.parts.hearWatcher(report, now)
   }
 
-  /** Hands changes of the store on to the other hosts of the region. */
+  /** Sends changes of the store to the other hosts of the region. */
   relay (changes: RelayedChanges): void {
     const groups = splitGroups(this.listOthers(({ region }) => region === this.parts.own.region), GROUP_SIZE)
-    // Built once: for each of its dozens of datagrams anew, a watcher would go through all targets as often.
+    // Built only once: building it for each of dozens of datagrams would iterate over all targets each time.
     const report = this.buildReport({ isRegional: false, demands: [], declaredRevision: this.parts.getDeclaredRevision(), changes: undefined })
     for (const part of splitChanges(changes, MOST_CHANGE_BYTES)) {
       for (const [head, ...others] of groups) {
@@ -111,7 +118,7 @@
     }
   }
 
-  /** Works on the targets that this report or the one before names, not on all there are. */
+  /** Updates the peer's counts at targets. Only targets in this report or the previous one are visited, not all targets. */
   private hearCounts ({ host, inFlight }: PeerReport, before: ReadonlyMap<number, number>, now: number): void {
     const { fleet } = this.parts
     for (const hash of before.keys()) {
@@ -120,7 +127,7 @@
     for (const [hash, count] of inFlight) fleet.findIncarnation(hash)?.hearPeerCount(host, count, now)
   }
 
-  /** Sends one report at once to every host, as when this one is about to leave. */
+  /** Sends a report to every host immediately, for example when this host is about to leave. */
   announce (): void {
     this.sendTo(() => true, { isRegional: false, demands: [], declaredRevision: this.parts.getDeclaredRevision(), changes: undefined })
   }
@@ -141,7 +148,7 @@
     return [...this.parts.forward.listRuntimes()].map((runtime) => runtime.describeDemand(now))
   }
 
-  /** Demands of all hosts of this region together. */
+  /** Returns the demands of all hosts of this region together. */
   private sumDemands (now: number): ServiceDemand[] {
     const { own, view } = this.parts
     const near = view.listDemands(now).filter(({ region }) => region === own.region).map(({ demand }) => demand)
@@ -160,7 +167,7 @@
     return fleet.listHosts().filter((entry) => entry.name !== own.name && isReceiver(entry))
   }
 
-  /** Returns the bytes that it takes. */
+  /** Sends a report to the given hosts and returns the bytes sent, headers included. */
   private send (receivers: readonly HostEntry[], report: Omit<PeerReport, 'sequence'>): number {
     this.sequence += 1
     const bytes = encodeReport({ ...report, sequence: this.sequence })
--- a/packages/almondrelay-gateway/src/process/peers/peerSocket.ts
+++ b/packages/almondrelay-gateway/src/process/peers/peerSocket.ts
@@ -1,6 +1,6 @@
 import { createSocket, type Socket } from 'node:dgram'
 
-/** The datagram port on which hosts hear each other. */
+/** The UDP socket through which hosts exchange datagrams. */
 export class PeerSocket {
   private readonly socket: Socket = createSocket('udp4')
 
@@ -8,10 +8,10 @@
     this.socket.on('error', logError)
   }
 
-  /** Opens the port and hands each datagram on until the signal aborts. */
+  /** Binds the port and passes each datagram to the handler until the signal aborts. */
   listen (ip: string, port: number, handleDatagram: (bytes: Uint8Array, ip: string) => void, signal: AbortSignal): Promise<void> {
     this.socket.on('message', (bytes, { address }) => {
-      // Thrown out of here, the error would end the process, and the next datagram of this kind the next process.
+      // An uncaught error would end the process; after a restart, the next datagram of this kind would end it again.
       try {
         handleDatagram(bytes, address)
       } catch (error) {
@@ -28,7 +28,7 @@
     })
   }
 
-  /** Sends without waiting; a datagram that is lost is replaced by the next one. */
+  /** Sends a datagram without waiting. A lost datagram isn't sent again, as the next report replaces it. */
   send (bytes: Uint8Array, ip: string, port: number): void {
     this.socket.send(bytes, port, ip, (error) => { if (error !== null) this.logError(error) })
   }
--- a/packages/almondrelay-gateway/src/process/peers/peerState.ts
+++ b/packages/almondrelay-gateway/src/process/peers/peerState.ts
@@ -1,10 +1,10 @@
 import type { PeerReport } from './peerReport.js'
 
-/** What was last heard of another host. */
+/** State of another host, as of its last report. */
 export interface PeerState {
   incarnation: string
   sequence: number
-  /** Monotonic milliseconds. */
+  /** Time at which the report was received, in monotonic milliseconds. */
   heardAt: number
   report: PeerReport
 }
--- a/packages/almondrelay-gateway/src/process/peers/peerView.ts
+++ b/packages/almondrelay-gateway/src/process/peers/peerView.ts
@@ -8,24 +8,25 @@
 import type { RegionDemand } from './regionDemand.js'
 import type { ServiceDemand } from './serviceDemand.js'
 
-/** Milliseconds after which a demand isn't counted any more; those of other regions come every two seconds. */
+/** Maximum age of a reported demand, in milliseconds. Other regions report theirs every two seconds. */
 const DEMAND_MAX_AGE_MS = 6_000
 
 /**
- * Hosts of a region from which on those that don't watch leave it to those that do: below, their calls are few, and a
- * watch of their own hears of changes sooner.
+ * Minimum hosts of a region at which hosts that aren't watchers rely on the watchers for changes of the store. In smaller regions each
+ * host watches the store itself: the calls are few, and its own watch reports changes sooner.
  */
 const LEAST_TO_RELY = 8
 /**
- * Part of the time within which a change must be known that the word of a watcher may be old; the rest is for asking. Below
- * the time of its watch and its reports together, all hosts of a region would ask the store again and again.
+ * Maximum age of a watcher's state, as a share of the time within which a change must be known; the rest is left for a call to the
+ * store. If this age were shorter than the wait of a watch and the report interval together, all hosts of a region would call the store
+ * constantly.
  */
 const RELIED_PART = 0.75
 
-/** Age of the first watcher's knowledge, in milliseconds, above which the second hands changes on. */
+/** Age of the first watcher's state, in milliseconds, above which the second watcher relays changes. */
 const RELAY_SILENCE_MS = 2_500
 
-/** Senders and regions that are remembered: twice the hosts of the largest fleet. Anybody may send reports of any name. */
+/** Maximum senders kept (twice the hosts of the largest fleet) and regions kept. Anybody can send reports with made-up names. */
 const MOST_PEERS = 10_000
 const MOST_REGIONS = 100
 
@@ -34,13 +35,13 @@
 interface RegionWord {
   heardAt: number
   demands: readonly ServiceDemand[]
-  /** The lowest of its hosts. */
+  /** The lowest revision in force among the region's hosts. */
   declaredRevision: number
 }
 
-/** What this host knows of the other hosts, from their entries in the store and from their own reports. */
+/** State of the other hosts as this host knows it, from their entries in the store and from their reports. */
 export class PeerView {
-  /** Monotonic milliseconds of the last report of any peer; undefined before the first. */
+  /** Time at which the last report of any peer was received, in monotonic milliseconds; undefined before the first. */
   lastHeardAt: number | undefined
   private readonly peers = new Map<string, PeerState>()
   private readonly regions = new Map<string, RegionWord>()
@@ -52,7 +53,7 @@
     this.lost = new LostHosts(fleet)
   }
 
-  /** Takes in a report; false for one that is older than the last one of its sender. */
+  /** Applies a report. Returns false, and ignores the report, if it is no newer than the last one of the sender's incarnation. */
   hear (report: PeerReport, now: number): boolean {
     const known = this.peers.get(report.host)
     if (known !== undefined && known.incarnation === report.incarnation && report.sequence <= known.sequence) return false
@@ -65,17 +66,17 @@
     return true
   }
 
-  /** The last report of a host's requests at targets; none where it wasn't heard. */
+  /** Returns the requests in progress at targets from a host's last report; empty if there is none. */
   findCounts (host: string): ReadonlyMap<number, number> {
     return this.peers.get(host)?.report.inFlight ?? NO_COUNTS
   }
 
-  /** Senders of reports that are remembered. */
+  /** Returns the number of senders whose last report is kept. */
   countHeard (): number {
     return this.peers.size
   }
 
-  /** Demands of the other hosts of this region, and of each other region as a whole. */
+  /** Returns the demands of the other hosts of this region, and those of each other region as a whole. */
   listDemands (now: number): RegionDemand[] {
     const isFresh = ({ heardAt }: { heardAt: number }): boolean => now - heardAt <= DEMAND_MAX_AGE_MS
     const near = [...this.peers.values()].filter((peer) => isFresh(peer) && peer.report.region === this.own.region)
@@ -86,18 +87,26 @@
     ]
   }
 
-  /** Hosts that serve callers, this one included. Those of other regions report seldom: their entries count. */
+  /**
+   * Returns the hosts that serve callers, including this one. Hosts of other regions send few reports and are judged by their entries.
+   */
   listLive (now: number): readonly HostEntry[] {
     return this.live.find(now).live
   }
 
-  /** The lowest revision of the operators' resources in force on a live host of this region; Infinity where none is heard. */
+  /**
+   * Returns the lowest revision of the operators' resources in force among the peers of this region with recent reports; Infinity if
+   * there are none.
+   */
   findLowestDeclared (now: number): number {
     const near = this.live.listNear().filter((entry) => this.live.hasHeard(entry, now))
     return near.reduce((lowest, { name }) => Math.min(lowest, this.peers.get(name)?.report.declaredRevision ?? Infinity), Infinity)
   }
 
-  /** What was last heard of another host: by itself in this region, by its region's word elsewhere; undefined where nothing was. */
+  /**
+   * Returns the last known state of another host: from the report of its region if that is another region and has reported, else its
+   * own report.
+   */
   findWord (entry: HostEntry): { heardAt: number, isLeaving: boolean, declaredRevision: number } | undefined {
     const peer = this.peers.get(entry.name)
     const word = entry.region === this.own.region ? undefined : this.regions.get(entry.region)
@@ -105,60 +114,64 @@
     return peer === undefined ? undefined : { heardAt: peer.heardAt, isLeaving: peer.report.isLeaving, declaredRevision: peer.report.declaredRevision }
   }
 
-  /** Number of hosts that may send, those too whose end isn't certain; undefined while this host doesn't know them. */
+  /** Returns the number of hosts that may send requests, including those that may have exited; undefined until all hosts are known. */
   countHosts (): number | undefined {
     return this.fleet.isComplete ? Math.max(1, this.fleet.listHosts().length) : undefined
   }
 
-  /** The same with those whose entries went without their leave, as they may only be cut off. */
+  /** Returns the number of hosts, including those whose entries were removed without an announcement, as they may only be cut off. */
   countPossibleHosts (now: number): number {
     return Math.max(1, this.fleet.listHosts().length) + this.lost.count(now)
   }
 
-  /** A host's entry is gone from the store. */
+  /** Registers that a host's entry was removed from the store. */
   observeGone ({ name, incarnation }: HostEntry, now: number): void {
     const peer = this.peers.get(name)
     const hasLeft = peer?.incarnation === incarnation && peer.report.isLeaving
     if (!hasLeft) this.lost.add(name, now)
   }
 
-  /** Availability zones with live hosts. */
+  /** Returns the availability zones that have live hosts. */
   listZones (now: number): string[] {
     return [...this.live.find(now).summing.keys()]
   }
 
-  /** Hosts that sum up for an availability zone; every host that knows the same hosts names the same ones. */
+  /** Returns the aggregators of an availability zone. Hosts that know the same live hosts choose the same aggregators. */
   listSumming (availabilityZone: string, now: number): readonly HostEntry[] {
     return this.live.find(now).summing.get(availabilityZone) ?? []
   }
 
-  /** Hosts that sum up for the other availability zones. */
+  /** Returns the aggregators of the other availability zones. */
   listFarSumming (now: number): readonly HostEntry[] {
     return this.listZones(now).filter((zone) => zone !== this.own.availabilityZone).flatMap((zone) => this.listSumming(zone, now))
   }
 
-  /** The other live hosts of this host's availability zone. */
+  /** Returns the other live hosts of this host's availability zone. */
   listZonePeers (now: number): readonly HostEntry[] {
     return this.listLive(now).filter(({ name, availabilityZone }) => availabilityZone === this.own.availabilityZone && name !== this.own.name)
   }
 
-  /** The other host whose report this is; undefined where it isn't of its present life or from its address, as anybody may send to the port. */
+  /**
+   * Returns the entry of the peer that sent a report; undefined if the report isn't of the peer's current incarnation or didn't come from
+   * its address, as anybody can send to the port.
+   */
   findSender ({ host, incarnation }: Pick<PeerReport, 'host' | 'incarnation'>, ip: string): HostEntry | undefined {
     const entry = this.fleet.findHost(host)
     const isGenuine = entry?.incarnation === incarnation && entry.ip === ip && entry.name !== this.own.name
     return isGenuine ? entry : undefined
   }
 
+  /** Returns whether this host is an aggregator of its zone. */
   isSumming (now: number): boolean {
     return this.listSumming(this.own.availabilityZone, now).some(({ name }) => name === this.own.name)
   }
 
-  /** The same of this host's region alone. */
+  /** Returns the number of hosts of this region; undefined until all hosts are known. */
   countRegionHosts (): number | undefined {
     return this.fleet.isComplete ? Math.max(1, this.live.listNear().length) : undefined
   }
 
-  /** Hosts that share the work on the targets of a region: its own, or all where it has none. */
+  /** Returns the names of the hosts that send requests to a region's targets: the hosts of the region, or all hosts if it has none. */
   listSenders (region: string, now: number): readonly string[] | undefined {
     if (!this.fleet.isComplete) return undefined
     const { live, senders } = this.live.find(now)
@@ -170,16 +183,16 @@
     return names
   }
 
-  /** Whether this host is one of the few of its region that speak for it, or hears no other one of it. */
+  /** Returns whether this host is a representative of its region, or receives no reports from any other host of the region. */
   isSpeaker (now: number): boolean {
     if (!this.live.hasHeardNear(now)) return true
     return this.listSpeakers(now).includes(this.own.name)
   }
 
   /**
-   * Whether a report is the word of a host that watches the store for this region. Anybody may send to the port, and what such
-   * a host hands on decides where requests go: it counts only in its present life, and from its own address or that
-   * of a host of this region, which passes it on.
+   * Returns whether a report is from a host that watches the store for this region. Anybody can send to the port, and the changes that
+   * a watcher relays decide where requests are sent. The report must therefore be of the watcher's current incarnation and come from
+   * its own address or that of a host of this region, which may have forwarded it.
    */
   isWatcher ({ host, incarnation }: PeerReport, ip: string, now: number): boolean {
     const { speakers, nearAddresses } = this.live.find(now)
@@ -187,8 +200,8 @@
   }
 
   /**
-   * Whether this host is the one that hands changes on: the first that watches, or the second while the first isn't heard or doesn't
-   * reach the store. Of what both hand on half would be for nothing.
+   * Returns whether this host relays changes: it is the first watcher, or the second while the first sends no reports or doesn't reach
+   * the store. If both relayed changes all the time, half of the datagrams would be superfluous.
    */
   isRelay (now: number): boolean {
     const [first] = this.listSpeakers(now)
@@ -197,14 +210,14 @@
     return peer === undefined || now - peer.heardAt + peer.report.storeAgeMs > RELAY_SILENCE_MS
   }
 
-  /** Whether the hosts of this region are so many that those that don't watch leave it to those that do. */
+  /** Returns whether this region has so many hosts that those that aren't watchers rely on the watchers. */
   hasManyNear (): boolean {
     return this.live.listNear().length >= LEAST_TO_RELY
   }
 
   /**
-   * Whether this host may leave it to others of its region to watch the store: one of them was heard lately, and what it
-   * knows was confirmed lately.
+   * Returns whether this host may rely on the watchers of its region instead of watching the store itself: at least one has reported
+   * recently, and the store has confirmed its state recently.
    *
    * @param boundMs time within which this host must know of a change
    */
--- a/packages/almondrelay-gateway/src/process/peers/serviceDemand.ts
+++ b/packages/almondrelay-gateway/src/process/peers/serviceDemand.ts
@@ -1,9 +1,9 @@
 import type { WorkTimes } from '../../request/workTimes.js'
 
-/** Requests for one service that arrive at one host. */
+/** Demand for one service: rate and work times of the requests that arrive at one host, or at several hosts together. */
 export interface ServiceDemand extends WorkTimes {
   service: string
   perSecond: number
-  /** Part of the service's requests that each region gets from the host. */
+  /** Share of the service's requests that the host sends to each region. */
   parts: ReadonlyMap<string, number>
 }
--- a/packages/almondrelay-gateway/src/process/peers/splitChanges.ts
+++ b/packages/almondrelay-gateway/src/process/peers/splitChanges.ts
@@ -3,14 +3,14 @@
 import type { StoreEvent } from '../store/storeEvent.js'
 import { encodeValue } from './encodeValue.js'
 
-/** Bytes of a change besides its key and value. */
+/** Bytes of an encoded change in addition to its key and value. */
 const CHANGE_OVERHEAD = 24
 
 /**
- * Cuts changes into parts that fit into a datagram each; every part names the one before it, so that a receiver sees
- * which of them was lost. A change that fits into none ends the list: receivers then ask the store for it.
+ * Splits changes into chunks that each fit into a datagram. Every chunk names the revision with which the one before it ends, so that a
+ * receiver notices a lost chunk. The list ends before the first change that is too large for a chunk; the receiver asks the store for it.
  *
- * @param mostBytes bytes of one part at most
+ * @param maxBytes maximum bytes of one chunk
  */
 export function splitChanges ({ afterRevision, upToRevision, events }: RelayedChanges, mostBytes: number): RelayedChanges[] {
   const parts: StoreEvent[][] = []
@@ -28,7 +28,7 @@
   return makeParts(parts, afterRevision, upToRevision)
 }
 
-/** @param upToRevision what is known with the last part; undefined where changes behind it are left out */
+/** @param upToRevision revision that is known with the last chunk; undefined if changes after that chunk are left out */
 const makeParts = (parts: readonly StoreEvent[][], afterRevision: number, upToRevision: number | undefined): RelayedChanges[] => {
   const ends = parts.map((events) => getEventRevision(events.at(-1) as StoreEvent))
   return parts.map((events, index) => ({
