--- a/packages/almondrelay-gateway/src/request/__fixtures__/makeContext.ts
+++ b/packages/almondrelay-gateway/src/request/__fixtures__/makeContext.ts
@@ -1,6 +1,6 @@
 import type { ChoiceContext } from '../choiceContext.js'
 
-/** A choice at time 0 in region `akl`, with some of its context replaced. */
+/** Makes the context of a choice at time 0 in region `akl`, with some fields replaced. */
 export function makeContext (context: Partial<ChoiceContext> = {}): ChoiceContext {
   return {
     now: 0,
--- a/packages/almondrelay-gateway/src/request/__fixtures__/makeTarget.ts
+++ b/packages/almondrelay-gateway/src/request/__fixtures__/makeTarget.ts
@@ -1,7 +1,7 @@
 import { TargetState } from '../targetState.js'
 import type { TargetEntry } from '../targetEntry.js'
 
-/** A target that is ready, with some of its entry replaced. */
+/** Makes a target that is ready, with some fields of its entry replaced. */
 export function makeTarget (entry: Partial<TargetEntry> = {}, now = 0): TargetState {
   return new TargetState({
     id: 'target-1',
--- a/packages/almondrelay-gateway/src/request/__tests__/chooseTarget.test.ts
+++ b/packages/almondrelay-gateway/src/request/__tests__/chooseTarget.test.ts
@@ -9,7 +9,7 @@
 const listNear = () => [0, 1, 2, 3].map((index) => makeTarget({ id: `near-${index}` }))
 const listKeys = () => Array.from({ length: 400 }, (_, index) => Math.imul(index + 1, 0x9e3779b1) >>> 0)
 
-test('a key keeps its target, and only the keys of a target that left move', () => {
+test('a key keeps its target, and only the keys of a target that left move to others', () => {
   const targets = listNear()
   const before = listKeys().map((keyHash) => chooseTarget(targets, makeContext({ keyHash }))?.target)
   const [gone] = targets
@@ -19,7 +19,7 @@
   }
 })
 
-test('a short queue at the target that holds the object is better than work on it anew', () => {
+test('a short queue at the target that has the object cached is preferred to work on it from scratch', () => {
   const targets = listNear()
   const first = chooseTarget(targets, makeContext())
   if (first === undefined) throw new Error('no target')
@@ -29,9 +29,9 @@
   assert.is.not(chooseTarget(targets, makeContext())?.target, first.target)
 })
 
-// A hot region: every target of it is full, another one 40 ms away is idle. Callers see their answers
-// late though there is room. The choice must compare the wait here with the trip there.
-test('a full region is left for one with room, where that is allowed', () => {
+// All targets of a region are full while another region, 40 ms away, is idle: callers get late answers although there is room.
+// The choice must compare the wait in the region with the round trip to the other one.
+test('requests leave a full region for one with room, where that is allowed', () => {
   const near = listNear()
   for (const target of near) target.inFlight = 40
   const far = makeTarget({ id: 'far', region: 'wlg' })
@@ -39,8 +39,9 @@
   assert.is(chooseTarget([...near, far], makeContext({ allowAway: false }))?.target.entry.region, 'akl')
 })
 
-// A zone was lost in a burst, and every target left is busy. A key that leaves a long queue at its own target is worked on anew
-// at another one, three times as long, and lengthens all queues there; a hot key beside idle targets takes nobody's slots.
+// A zone was lost in a burst, and all remaining targets are busy. A key that leaves a long queue at its preferred target is
+// worked on from scratch at another one, which takes three times as long and lengthens all queues there. A hot key beside idle
+// targets takes nobody's slots.
 test('a key stays in its queue while all targets are busy, and leaves the same queue for an idle one', () => {
   const targets = listNear()
   const first = chooseTarget(targets, makeContext())?.target
@@ -50,9 +51,9 @@
   assert.is.not(chooseTarget(targets, makeContext())?.target, first)
 })
 
-// A service is full and nothing is held yet. Going to any idle target, each request works on its object anew, takes
-// the slots that would bring the others home, and the service stays full.
-test('a key whose targets are both full goes to no third one', () => {
+// A service is full and no object is cached yet. If requests went to any idle target, each would work on its object from scratch
+// and take the slots that are needed for requests of the target's own keys, and the service would stay full.
+test('a key whose two targets are both full goes to no third one', () => {
   const targets = listNear()
   const first = chooseTarget(targets, makeContext())
   const second = chooseTarget(targets.filter((target) => target !== first?.target), makeContext())
@@ -60,7 +61,7 @@
   assert.is(chooseTarget(targets, makeContext())?.outstanding, 30)
 })
 
-test('a region whose targets are all gone is left without asking', () => {
+test('a request leaves a region without targets even where leaving is not allowed', () => {
   const far = makeTarget({ id: 'far', region: 'wlg' })
   assert.is(chooseTarget([far], makeContext({ allowAway: false }))?.target, far)
 })
@@ -72,15 +73,14 @@
   assert.is(chooseTarget([draining, departed], makeContext()), undefined)
 })
 
-test('a cold target gets nothing but within its allowance', () => {
+test('a cold target gets requests only within its allowance', () => {
   const cold = makeTarget({ coldForMs: 3_000 })
   assert.is(chooseTarget([cold], makeContext()), undefined)
   assert.is(chooseTarget([cold], makeContext({ allowCold: () => true }))?.target, cold)
   assert.is(chooseTarget([cold], makeContext({ now: 3_000 }))?.target, cold)
 })
 
-// One target turns five times slower: its callers wait while others are idle, for as long as its keys stay.
-/** The targets with one of them just after it was cold. */
+/** Makes the usual targets and one more that was cold until just now. */
 const listWithStarting = (): { targets: TargetState[], starting: TargetState } => {
   const starting = makeTarget({ id: 'starting', coldForMs: 1 })
   return { targets: [...listNear(), starting], starting }
@@ -90,10 +90,10 @@
   return listKeys().filter((keyHash) => chooseTarget(targets, makeContext({ keyHash, now: 60_000 }))?.target.entry.id === starting.entry.id)
 }
 
-// A third of a service's targets is added. Each is the first of some keys, all of whose requests went there in the same
-// second: with work of three seconds on an object that isn't held, four or five of them at once, which ended by their time limit,
-// while the target that held the object stood idle.
-test('a key stays with the target that holds its object while its own one is warming up', () => {
+// A third of a service's targets is added, each of them the preferred target of some keys. If all requests of such a key go there
+// in the same second, with three seconds of work on an uncached object, four or five of them run there at once and time out,
+// while the target that has the object cached is idle.
+test('a key stays with the target that has its object cached while its preferred target is warming up', () => {
   const keys = listOwnKeys()
   assert.ok(keys.length > 40)
   for (const keyHash of keys) {
@@ -101,13 +101,13 @@
     const context = makeContext({ keyHash, now: 10, warmMs: 770, coldMs: 3_000, meanMs: 900, targetLatencyMs: 1_500 })
     const choice = chooseTarget(targets, context)
     assert.is.not(choice?.target, starting)
-    assert.is(choice?.workMs, 770, 'the target before holds it')
-    assert.is(chooseTarget(targets, { ...context, warmsUp: true })?.target, starting, 'some requests warm it up')
+    assert.is(choice?.workMs, 770, 'the previous target has it cached')
+    assert.is(chooseTarget(targets, { ...context, warmsUp: true })?.target, starting, 'some requests warm the new target up')
   }
 })
 
-// Warming a target up must not cost an answer: a request that goes there and finds a queue is refused, while the target that
-// holds its object is idle.
+// Warming up a target must not cost an answer: a request that is sent there and finds a queue is refused, although the target
+// that has its object cached is idle.
 test('no request warms up a target that has a queue', () => {
   for (const keyHash of listOwnKeys()) {
     const { targets, starting } = listWithStarting()
@@ -116,14 +116,14 @@
   }
 })
 
-test('a target that is warming up takes its keys where the one that holds them is full', () => {
+test('a target that is warming up gets its keys where the target that has them cached is full', () => {
   const [keyHash] = listOwnKeys()
   const { targets, starting } = listWithStarting()
   for (const target of targets) if (target !== starting) target.inFlight = 40
   assert.is(chooseTarget(targets, makeContext({ keyHash: keyHash as number, now: 10 }))?.target, starting)
 })
 
-test('keys of other targets never go to one that is warming up', () => {
+test('keys that prefer other targets never go to one that is warming up', () => {
   const own = new Set(listOwnKeys())
   const { targets, starting } = listWithStarting()
   for (const keyHash of listKeys().filter((each) => !own.has(each))) {
@@ -131,13 +131,14 @@
   }
 })
 
-test('targets that are all warming up serve their keys as ever', () => {
+test('targets that are all warming up serve their keys as usual', () => {
   const targets = [0, 1, 2].map((index) => makeTarget({ id: `starting-${index}`, coldForMs: 1 }))
   const settled = listKeys().map((keyHash) => chooseTarget(targets, makeContext({ keyHash, now: 60_000 }))?.target)
   assert.equal(listKeys().map((keyHash) => chooseTarget(targets, makeContext({ keyHash, now: 10 }))?.target), settled)
 })
 
-test('a target that has become slow loses its keys within some answers, and is tried again later', () => {
+// One target becomes five times slower: its callers would wait while others are idle, for as long as its keys stay there.
+test('a target that has become slow loses its keys after some answers, and is tried again later', () => {
   const targets = listNear()
   const first = chooseTarget(targets, makeContext())
   if (first === undefined) throw new Error('no target')
--- a/packages/almondrelay-gateway/src/request/__tests__/coldAllowance.test.ts
+++ b/packages/almondrelay-gateway/src/request/__tests__/coldAllowance.test.ts
@@ -6,14 +6,15 @@
 
 const test = suite('ColdAllowance')
 const PER_SECOND = 14
-/** What the operators allow: one and a half times the rate and a few more, in any second. */
+/** The operators' bound in any second: one and a half times the rate, and a few more. */
 const ALLOWED = PER_SECOND * 1.5 + 5
 const NAMES = ['akl-1', 'akl-2', 'akl-3', 'akl-4']
 const SEED = 20_261_202
 
-// A zone's targets come back cold and every host sends to them: above the rate they bear they crash, and the
-// zone is lost again. One host joins or leaves at the worst moment, so that two take themselves for the one that sends.
-test('two views of the fleet at once stay within the rate', () => {
+// The targets of a zone come back cold. If every host sent to them, they would crash above the rate that they can take, and the
+// zone would be lost again. The worst case is a host that joins or leaves just then, so that two hosts take themselves for the
+// one that sends.
+test('two hosts with different views of the fleet stay within the bound', () => {
   const pick = fc.subarray(NAMES, { minLength: 1 })
   fc.assert(fc.property(fc.array(pick, { minLength: 2, maxLength: 2 }), fc.array(fc.integer({ min: 0, max: 30 }), { minLength: 200, maxLength: 300 }), (views, gaps) => {
     const target = makeTarget({ coldForMs: 60_000 })
@@ -33,7 +34,7 @@
   }), { seed: SEED, numRuns: 200 })
 })
 
-test('exactly one of the hosts that agree sends, and nobody who does not know the fleet', () => {
+test('of hosts with the same view of the fleet exactly one sends, and a host that does not know the fleet sends nothing', () => {
   const target = makeTarget({ coldForMs: 3_000 })
   const senders = NAMES.filter((name) => new ColdAllowance(name).allow(target, PER_SECOND, NAMES, 0))
   assert.is(senders.length, 1)
--- a/packages/almondrelay-gateway/src/request/__tests__/computeRetryPause.test.ts
+++ b/packages/almondrelay-gateway/src/request/__tests__/computeRetryPause.test.ts
@@ -5,13 +5,13 @@
 const test = suite('computeRetryPause')
 const bounds = { firstMs: 200, longestMs: 500 }
 
-test('a pause doubles with each failure up to the longest', () => {
+test('the delay doubles with each failure up to the maximum', () => {
   assert.equal([1, 2, 3, 40].map((failures) => computeRetryPause(bounds, failures, 0.5)), [200, 400, 500, 500])
 })
 
-// The store is away for ten seconds. With pauses all alike once they are longest, every host of the fleet calls in the same
-// moment twice a second, and again when the store returns.
-test('pauses are spread by chance at the longest too', () => {
+// The store is unavailable for ten seconds. If all hosts waited equally long once the delay is at its maximum, they would all
+// call the store at the same moment twice a second, and again when it returns.
+test('the maximum delay is randomised too', () => {
   assert.equal([0, 1].map((chance) => computeRetryPause(bounds, 40, chance)), [250, 750])
 })
 
--- a/packages/almondrelay-gateway/src/request/__tests__/decideAdmission.test.ts
+++ b/packages/almondrelay-gateway/src/request/__tests__/decideAdmission.test.ts
@@ -15,7 +15,10 @@
 interface Arrival { at: number, workMs: number }
 type Admit = (workMs: number, waitMs: number) => boolean
 
-/** A target in virtual time: what arrives is admitted or refused, waits its turn and is worked on. Returns the worth served. */
+/**
+ * Simulates a target in virtual time: requests arrive, are admitted or refused, wait their turn and are worked on. Returns the
+ * total value of the answers.
+ */
 const serve = (arrivals: readonly Arrival[], admit: Admit): number => {
   const freeAt = new Array<number>(SLOTS).fill(0)
   let worth = 0
@@ -30,7 +33,10 @@
   return worth
 }
 
-/** A burst after a zone was lost: of each seven requests three are about objects that were held elsewhere, one and a half times what fits. */
+/**
+ * Makes a burst after the loss of a zone: of each seven requests, three are about objects that were cached elsewhere. The load is
+ * one and a half times the target's capacity.
+ */
 const makeBurst = (): Arrival[] => {
   const meanWorkMs = (4 * HELD_MS + 3 * ANEW_MS) / 7
   const gapMs = meanWorkMs / SLOTS / 1.5
@@ -44,23 +50,24 @@
   leftMs: DEADLINE_MS
 })
 
-// Callers look up plates while a zone is lost: objects that it held are worked on anew elsewhere, three times as long. Let
-// into the queues though they will be late, they make those late whose object is held: most answers come, few in time.
-test('in a burst with much work anew, those who can be on time are served before those who can not', () => {
+// Callers look up plates while a zone is lost: objects that were cached there are worked on from scratch elsewhere, which
+// takes three times as long. If such requests were admitted to the queues although they will be late, they would also delay those
+// whose object is cached: most requests would be answered, but few in time.
+test('in a burst with many uncached objects, requests that can be on time are served before those that can not', () => {
   const burst = makeBurst()
   const plain = serve(burst, () => true)
   const wholeWork = serve(burst, (workMs, waitMs) => waitMs <= Math.max((LATENCY_MS - workMs) * 0.9, workMs))
   const product = serve(burst, (workMs, waitMs) => decide(workMs, waitMs) === 0)
-  assert.ok(product > plain * 1.5, `product ${product}, every queue filled ${plain}`)
-  assert.ok(product > wholeWork * 1.1, `product ${product}, a whole work's wait in any case ${wholeWork}`)
+  assert.ok(product > plain * 1.5, `product ${product}, with all queues filled ${plain}`)
+  assert.ok(product > wholeWork * 1.1, `product ${product}, with a wait of the whole work always accepted ${wholeWork}`)
 })
 
-test('work anew is let in where a slot is free, so that no key is shut out', () => {
+test('a request about an uncached object is admitted where a slot is free, so that no key is shut out', () => {
   assert.is(decide(ANEW_MS, 0), 0)
   assert.is(decide(LATENCY_MS * 2, 0), 0)
 })
 
-test('a refused caller is told how long the queue is too long, and not less than lets it drain a little', () => {
+test('a refused caller is told by how much the queue is too long, and never less than the minimum', () => {
   assert.is(decide(HELD_MS, 600), 600 - (LATENCY_MS - HELD_MS) * 0.9)
   assert.is(decide(HELD_MS, 265), 40)
 })
--- a/packages/almondrelay-gateway/src/request/__tests__/decideNextStep.test.ts
+++ b/packages/almondrelay-gateway/src/request/__tests__/decideNextStep.test.ts
@@ -13,9 +13,9 @@
   head: { status: 200, rawHeaders: [], requestId: 'a', isNotRun: false, isMisdirected: false, isGenuine: true, keepAliveMs: undefined, isLast: false, load: undefined, coldForMs: undefined, ...head }
 })
 
-// A payroll officer approves leave once; the target books it and its answer is lost. Sent again to a
-// second target, the leave is deducted twice.
-test('after any doubt a request that is not idempotent is never sent again', () => {
+// A payroll officer approves leave once; the target books it, and its answer is lost. If the request were sent again to a second
+// target, the leave would be deducted twice.
+test('a request that is not idempotent is never sent again where it may have run', () => {
   const doubts: AttemptResult[] = [
     { kind: 'broken', reason: 'ECONNRESET' },
     makeAnswer({ isGenuine: false }),
@@ -29,7 +29,7 @@
   }
 })
 
-test('what a target says that it did not run may go to another one', () => {
+test('a request that did not run, as its target states, may be sent to another target', () => {
   for (const isIdempotent of [true, false]) {
     assert.is(decideNextStep(makeAnswer({ status: 503, isNotRun: true, isGenuine: false }), isIdempotent), NextStep.retryNotRun)
     assert.is(decideNextStep(makeAnswer({ status: 421, isMisdirected: true, isGenuine: false }), isIdempotent), NextStep.retryNotRun)
@@ -37,7 +37,7 @@
   }
 })
 
-test('a target that failed has run the request: its answer is passed on, or repeated where that is allowed', () => {
+test('a target that failed has run the request: its answer is passed on, or the request retried where it is idempotent', () => {
   assert.is(decideNextStep(makeAnswer({ status: 500 }), false), NextStep.deliver)
   assert.is(decideNextStep(makeAnswer({ status: 500 }), true), NextStep.retryMaybeRun)
   assert.is(decideNextStep(makeAnswer({ status: 404 }), true), NextStep.deliver)
--- a/packages/almondrelay-gateway/src/request/__tests__/hostLoad.test.ts
+++ b/packages/almondrelay-gateway/src/request/__tests__/hostLoad.test.ts
@@ -5,15 +5,15 @@
 
 const test = suite('HostLoad')
 const SEED = 7
-/** Milliseconds of one tick of the host's timer, and of processor time that a request takes. */
+/** Interval of the host's timer, and processor time that a request takes, in milliseconds. */
 const TICK_MS = 50
 const WORK_MS = 2
-/** A refusal costs a fifth of a request. */
+/** Processor time of a refusal, in milliseconds: a fifth of that of a request. */
 const REFUSAL_MS = 0.4
 
 interface Simulated { answeredInTime: number, arrived: number, longestWaitMs: number }
 
-/** A host of one processor in virtual time: callers leave after `patienceMs`, unread requests are read all the same. */
+/** Simulates a host with one processor in virtual time: callers leave after `patienceMs`, and unread requests are read all the same. */
 const simulateHost = (requestsPerSecond: number, seconds: number, load: HostLoad | undefined, patienceMs = 1_000): Simulated => {
   const random = createSeededRandom(SEED)
   let freeAt = 0
@@ -34,9 +34,9 @@
   return result
 }
 
-// One host of ten is left and gets twice what its processor carries. Requests wait longer and longer unread; after some
-// seconds each caller has left before its request is read, and the host works for nobody.
-test('a host with twice the requests that it can carry goes on answering most of what it can', () => {
+// One host of ten is left and gets twice the requests that its processor can handle. Requests wait unread for longer and longer;
+// after some seconds each caller has left before its request is read, and all of the host's work is wasted.
+test('a host with twice the requests that it can handle still answers most of what it can handle', () => {
   const plain = simulateHost(1_000, 20, undefined)
   const shedding = simulateHost(1_000, 20, new HostLoad())
   assert.ok(plain.answeredInTime < plain.arrived * 0.15, `plain ${plain.answeredInTime} of ${plain.arrived}`)
@@ -49,8 +49,8 @@
   assert.is(result.answeredInTime, result.arrived)
 })
 
-// A host stood still for three seconds and goes on. What it would refuse for long after that could have been served.
-test('after one long delay a host takes everything again within a second', () => {
+// A host was suspended for three seconds and continues. Requests that it went on refusing long after that could have been served.
+test('after one long delay a host admits all requests again within a second', () => {
   const load = new HostLoad()
   assert.ok(load.observeDelay(3_000))
   assert.ok(load.isShedding)
@@ -62,7 +62,7 @@
   assert.ok(ticks * TICK_MS <= 1_000, `${ticks} ticks`)
 })
 
-test('the less urgent are shed more, and none is shut out', () => {
+test('less urgent requests are shed more, and none are shut out', () => {
   const load = new HostLoad()
   load.observeDelay(1_500)
   const random = createSeededRandom(SEED)
@@ -72,7 +72,7 @@
   assert.ok(patient > urgent / 4, `${patient} of ${urgent}`)
 })
 
-test('a shed caller is told a time that grows with the delay', () => {
+test('a shed caller gets a retry time that grows with the delay', () => {
   const load = new HostLoad()
   assert.is(load.computeRetryAfter(0), 200)
   load.observeDelay(400)
--- a/packages/almondrelay-gateway/src/request/__tests__/isOlderEntry.test.ts
+++ b/packages/almondrelay-gateway/src/request/__tests__/isOlderEntry.test.ts
@@ -6,14 +6,14 @@
 const test = suite('isOlderEntry')
 const order = fc.record({ incarnation: fc.option(fc.nat(3), { nil: undefined }), sequence: fc.nat(3) })
 
-test('of two lives the one that started later is the newer, of one life the one with more heartbeats', () => {
+test('of two incarnations the one that started later is newer, of one incarnation the entry with more heartbeats', () => {
   assert.ok(isOlderEntry({ incarnation: 1, sequence: 99 }, { incarnation: 2, sequence: 1 }))
   assert.not(isOlderEntry({ incarnation: 2, sequence: 1 }, { incarnation: 1, sequence: 99 }))
   assert.ok(isOlderEntry({ incarnation: 2, sequence: 1 }, { incarnation: 2, sequence: 2 }))
   assert.not(isOlderEntry({ incarnation: 2, sequence: 2 }, { incarnation: 2, sequence: 2 }))
 })
 
-test('a target that states no start is one life, older than any that states one', () => {
+test('entries without a start are one incarnation, older than any with a start', () => {
   assert.ok(isOlderEntry({ incarnation: undefined, sequence: 9 }, { incarnation: 1, sequence: 1 }))
   assert.not(isOlderEntry({ incarnation: 1, sequence: 1 }, { incarnation: undefined, sequence: 9 }))
   assert.ok(isOlderEntry({ incarnation: undefined, sequence: 1 }, { incarnation: undefined, sequence: 2 }))
--- a/packages/almondrelay-gateway/src/request/__tests__/planDeclaredParts.test.ts
+++ b/packages/almondrelay-gateway/src/request/__tests__/planDeclaredParts.test.ts
@@ -13,26 +13,26 @@
 }
 const drain = (region: string): Resource => ({ kind: 'Drain', name: `drain-${region}`, revision: 1, spec: { scope: 'region', name: region } })
 
-test('without resources the parts are those of the load', () => {
+test('without resources the shares are those by load', () => {
   assert.equal(plan([]), { akl: 0.7, wlg: 0.3 })
 })
 
-test('declared weights go before the load', () => {
+test('declared weights take precedence over the load', () => {
   assert.equal(plan([{ kind: 'SteeringPolicy', name: 'p', revision: 1, spec: { service: 'balances', from: 'akl', weights: { akl: 1, chc: 3 }, spill: true } }]), { akl: 0.25, chc: 0.75 })
 })
 
-test('a drained region gets nothing, and its part is divided among the others', () => {
+test('a drained region gets nothing, and its share is divided among the others', () => {
   assert.equal(plan([drain('wlg')]), { akl: 1 })
   assert.equal(plan([drain('akl')], new Map([['akl', 1]])), { wlg: 0.5, chc: 0.5 })
 })
 
-// An operator drains every region, by mistake or one after the other. Callers who were then sent nowhere would all be
-// refused, though every target still works.
-test('where every region is drained, callers stay where they are', () => {
+// An operator drains every region, by mistake or one after the other. If callers were then sent nowhere, all would be refused
+// although every target still works.
+test('where every region is drained, the drains have no effect', () => {
   assert.equal(plan(regions.map(drain)), { akl: 0.7, wlg: 0.3 })
 })
 
-test('what a cap does not bear stays at home', () => {
+test('what exceeds a cap stays in the own region', () => {
   assert.equal(plan([{ kind: 'ShiftCap', name: 'c', revision: 1, spec: { from: 'akl', to: 'wlg', maxInFlight: 1 } }]), { akl: 0.92, wlg: 0.08 })
   assert.equal(plan([{ kind: 'ShiftCap', name: 'c', revision: 1, spec: { from: 'akl', to: 'wlg', maxInFlight: 0 } }]), { akl: 1, wlg: 0 })
 })
--- a/packages/almondrelay-gateway/src/request/__tests__/regionParts.test.ts
+++ b/packages/almondrelay-gateway/src/request/__tests__/regionParts.test.ts
@@ -5,13 +5,13 @@
 
 const test = suite('RegionParts')
 const SHIFT_PART = 0.15
-/** A trip of 40 ms beside work of 90 ms. */
+/** Ratio of a round trip of 40 ms to work of 90 ms. */
 const FAR_TRIP_PART = 0.44
 const listKeys = () => Array.from({ length: 2_000 }, (_, index) => Math.imul(index + 1, 0x9e3779b1) >>> 0)
 
-// A third of the callers live where two of sixteen targets stand: their queue grows without end while the
-// other regions, 40 ms away, have slots free. The plan must send away what doesn't fit.
-test('a region with too few targets sends the rest to where there is room', () => {
+// A third of the callers are in a region with two of sixteen targets: its queue would grow without end while the other regions,
+// 40 ms away, have free slots. The plan must send the excess there.
+test('a region with too few targets sends the excess to regions with room', () => {
   const loads = [
     { region: 'akl', slots: 48, busySlots: 12 },
     { region: 'wlg', slots: 12, busySlots: 12 },
@@ -23,14 +23,14 @@
   assert.ok(Math.abs([...parts.values()].reduce((sum, part) => sum + part, 0) - 1) < 1e-9)
 })
 
-test('a region with room keeps its requests, and where all are full nobody sends any away', () => {
+test('a region with room keeps its requests, and where all regions are full none sends requests away', () => {
   assert.is(computeRegionParts({ own: 'akl', loads: [{ region: 'akl', slots: 48, busySlots: 12 }, { region: 'wlg', slots: 12, busySlots: 12 }], tripPart: FAR_TRIP_PART, current: undefined }).get('akl'), 1)
   assert.is(computeRegionParts({ own: 'akl', loads: [{ region: 'akl', slots: 0, busySlots: 12 }, { region: 'wlg', slots: 0, busySlots: 12 }], tripPart: FAR_TRIP_PART, current: undefined }).get('akl'), 1)
 })
 
-// Work takes 770 ms, the trip 40. In a region whose targets are half busy on average one of them has twice the mean of keys,
-// and its callers wait for seconds beside idle targets in the next region.
-test('where the trip is nothing beside the work a region is filled less far than where it counts', () => {
+// Work takes 770 ms, the round trip 40 ms. In a region whose targets are half busy on average, one target has twice the mean
+// number of keys, and its callers wait for seconds while targets in the next region are idle.
+test('where the round trip is negligible beside the work, a region is filled less than where it matters', () => {
   const loads = [{ region: 'akl', slots: 1_080, busySlots: 240 }, { region: 'wlg', slots: 228, busySlots: 240 }]
   const near = computeRegionParts({ own: 'wlg', loads, tripPart: 0.05, current: undefined }).get('wlg') ?? 0
   const far = computeRegionParts({ own: 'wlg', loads, tripPart: FAR_TRIP_PART, current: undefined }).get('wlg') ?? 0
@@ -38,21 +38,21 @@
   assert.ok(far * 240 / 228 > 0.5, `${far}`)
 })
 
-// A small region's callers come and go in waves, its neighbours are 40 ms away and work takes seconds where an object isn't held.
-// With every wave its keys moved home and away again, and each was worked on anew at both ends.
-test('where the trip is nothing beside the work, keys that can stay where they are stay', () => {
+// The load of a small region rises and falls; its neighbours are 40 ms away, and work takes seconds where an object isn't cached.
+// If its keys moved away and home again with every change, each would be worked on from scratch at both ends.
+test('where the round trip is negligible beside the work, keys stay where they are for as long as possible', () => {
   const current = new Map([['wlg', 0.35], ['akl', 0.65]])
   const plan = (busySlots: number, tripPart: number, akl: number) => computeRegionParts({ own: 'wlg', loads: [{ region: 'akl', slots: 1_080, busySlots: akl }, { region: 'wlg', slots: 228, busySlots }], tripPart, current })
-  assert.equal(plan(150, 0.05, 300), current, 'a wave that ends')
-  assert.ok((plan(150, FAR_TRIP_PART, 300).get('wlg') ?? 0) > 0.7, 'far from others they go home')
+  assert.equal(plan(150, 0.05, 300), current, 'the load falls')
+  assert.ok((plan(150, FAR_TRIP_PART, 300).get('wlg') ?? 0) > 0.7, 'where the others are far away, keys return home')
   const filledUse = (plan(600, 0.05, 300).get('wlg') ?? 1) * 600 / 228
-  assert.ok(filledUse <= 900 / 1_308 * 1.1 + 1e-9, 'a wave that fills the region beyond the mean of all')
+  assert.ok(filledUse <= 900 / 1_308 * 1.1 + 1e-9, 'the load fills the region beyond the mean of all')
   const loads = [{ region: 'akl', slots: 100, busySlots: 90 }, { region: 'wlg', slots: 228, busySlots: 150 }, { region: 'chc', slots: 1_080, busySlots: 100 }]
-  assert.ok((computeRegionParts({ own: 'wlg', loads, tripPart: 0.05, current }).get('akl') ?? 1) < 0.1, 'the region that serves them is full')
-  assert.ok((computeRegionParts({ own: 'wlg', loads: [{ region: 'akl', slots: 0, busySlots: 0 }, { region: 'wlg', slots: 228, busySlots: 150 }], tripPart: 0.05, current }).get('wlg') ?? 0) === 1, 'the region that serves them is lost')
+  assert.ok((computeRegionParts({ own: 'wlg', loads, tripPart: 0.05, current }).get('akl') ?? 1) < 0.1, 'the region that serves the keys is full')
+  assert.ok((computeRegionParts({ own: 'wlg', loads: [{ region: 'akl', slots: 0, busySlots: 0 }, { region: 'wlg', slots: 228, busySlots: 150 }], tripPart: 0.05, current }).get('wlg') ?? 0) === 1, 'the region that serves the keys is lost')
 })
 
-test('a small difference moves nothing, a large one is followed to its end', () => {
+test('a small difference moves no shares, and a large one moves them nearly to the plan', () => {
   const parts = new RegionParts('wlg', SHIFT_PART)
   for (let now = 0; now <= 10_000; now += 250) parts.moveTowards(new Map([['wlg', 0.9], ['akl', 0.1]]), now)
   assert.is(parts.getParts().get('wlg'), 1)
@@ -60,7 +60,7 @@
   assert.ok((parts.getParts().get('wlg') ?? 0) < 0.74)
 })
 
-test('steps stay within the bound on shifts in any two seconds, and few keys move', () => {
+test('steps move no more keys than the bound on shifts allows in any two seconds, and reach the plan', () => {
   const parts = new RegionParts('wlg', SHIFT_PART)
   const plan = new Map([['wlg', 0.2], ['akl', 0.5], ['chc', 0.3]])
   const places: string[][] = []
--- a/packages/almondrelay-gateway/src/request/__tests__/retryAllowance.test.ts
+++ b/packages/almondrelay-gateway/src/request/__tests__/retryAllowance.test.ts
@@ -7,9 +7,9 @@
 const BOUND = { ratio: 0.2, extra: 60, windowMs: 10_000 }
 const SEED = 20_261_202
 
-// A service fails: every host repeats every request. Without a common bound the service gets twice its load
-// just when it can't bear it. Each host may know one host less than there are.
-test('all hosts together stay within the bound in every window, whatever fails', () => {
+// A service fails, and every host retries every request. Without a common bound the service would get twice its load just when it
+// can't take it. A host may count one host less than there are.
+test('all hosts together stay within the bound in every window', () => {
   const step = fc.record({ host: fc.integer({ min: 0, max: 4 }), gapMs: fc.integer({ min: 0, max: 400 }) })
   fc.assert(fc.property(fc.array(step, { minLength: 50, maxLength: 400 }), (steps) => {
     const hosts = Array.from({ length: 5 }, () => new RetryAllowance(BOUND))
@@ -33,14 +33,14 @@
   }), { seed: SEED, numRuns: 200 })
 })
 
-test('a host that does not know its fleet takes none of the fixed part', () => {
+test('a host that does not know the fleet uses none of the retries for all hosts together', () => {
   const allowance = new RetryAllowance(BOUND)
   allowance.observeRequest(0)
   assert.not(allowance.use(0, undefined))
   assert.ok(allowance.use(0, 10))
 })
 
-test('what was spent comes back after the window', () => {
+test('used retries are available again after the window', () => {
   const allowance = new RetryAllowance(BOUND)
   let spent = 0
   while (allowance.use(0, 10)) spent += 1
--- a/packages/almondrelay-gateway/src/request/__tests__/shiftCapUse.test.ts
+++ b/packages/almondrelay-gateway/src/request/__tests__/shiftCapUse.test.ts
@@ -11,7 +11,7 @@
   { kind: 'ShiftCap', name: 'cap', revision: 1, spec: { from: 'akl', to: 'wlg', maxInFlight, ...(service === undefined ? {} : { service }) } }
 ]), 'akl')
 
-test('what is over the cap stays, and room comes back with each answer', () => {
+test('requests above the cap stay, and each answer makes room', () => {
   const use = new ShiftCapUse()
   const steering = makeCap(4)
   for (let sent = 0; sent < 2; sent += 1) use.begin('balances', 'wlg')
@@ -21,20 +21,20 @@
   assert.ok(use.allow(steering, 'requests', 'wlg', 2))
 })
 
-test('a cap for one service leaves the others alone', () => {
+test('a cap for one service does not affect the others', () => {
   const use = new ShiftCapUse()
   use.begin('requests', 'wlg')
   assert.ok(use.allow(makeCap(1, 'balances'), 'balances', 'wlg', 1))
   assert.ok(use.allow(makeCap(1, 'balances'), 'requests', 'wlg', 1))
 })
 
-test('a host that does not know its fleet shifts nothing under a cap', () => {
+test('a host that does not know the fleet shifts nothing under a cap', () => {
   assert.not(new ShiftCapUse().allow(makeCap(100), 'balances', 'wlg', undefined))
 })
 
-// An operator caps a shift so that the link between two regions isn't filled. Hosts come and go, and each sees the fleet
-// a little late. Were a host to count fewer hosts than may send, the sum of their parts would pass the cap.
-test('property: whatever the hosts send and answer, the sum stays under the cap while no host counts too few', () => {
+// An operator caps a shift so that the link between two regions isn't filled. Hosts join and leave, and each sees the fleet a
+// little late. If a host counted fewer hosts than may send, the sum of their shares would exceed the cap.
+test('property: in any order of requests and answers the sum stays within the cap, if no host counts too few hosts', () => {
   const step = fc.record({ host: fc.nat(4), ends: fc.boolean(), seen: fc.integer({ min: 5, max: 9 }) })
   fc.assert(fc.property(fc.integer({ min: 0, max: 40 }), fc.array(step, { maxLength: 300 }), (cap, steps) => {
     const steering = makeCap(cap)
--- a/packages/almondrelay-gateway/src/request/admissionInput.ts
+++ b/packages/almondrelay-gateway/src/request/admissionInput.ts
@@ -1,11 +1,11 @@
 import type { TargetChoice } from './targetChoice.js'
 
-/** What decides whether a request is sent to the target that was chosen for it. */
+/** Input of the decision whether a request is sent to the target that was chosen for it or refused. */
 export interface AdmissionInput {
   choice: TargetChoice
-  /** Milliseconds from its arrival within which the answer has its full value. */
+  /** Latency target: milliseconds from the request's arrival within which the answer has its full value. */
   targetLatencyMs: number
-  /** Milliseconds since its arrival. */
+  /** Milliseconds since the request arrived. */
   elapsedMs: number
   /** Milliseconds until the caller stops waiting. */
   leftMs: number
--- a/packages/almondrelay-gateway/src/request/allowanceInput.ts
+++ b/packages/almondrelay-gateway/src/request/allowanceInput.ts
@@ -1,13 +1,13 @@
-/** What decides whether an organisation's request is within its allowance. */
+/** Input of the computation how many of an organisation's requests are admitted under its allowance. */
 export interface AllowanceInput {
-  /** Requests that all hosts together may let through within the window. */
+  /** Requests that all hosts together may admit within the window. */
   limit: number
-  /** Requests that the hosts of which this one knows have let through within the window. */
+  /** Requests that the hosts known to this one have admitted within the window. */
   used: number
-  /** Of those, the ones that leave the window within the next second, and make room. */
+  /** Of those, the requests that leave the window within the next second and thus make room. */
   leavingPerSecond: number
-  /** Requests a second that its callers ask of them. */
+  /** Requests a second that the organisation's callers send to the known hosts. */
   askedPerSecond: number
-  /** Part of all hosts that may let requests through of which this one knows, above 0 and up to 1. */
+  /** Share of all admitting hosts whose usage this host knows, above 0 and up to 1. */
   reach: number
 }
--- a/packages/almondrelay-gateway/src/request/attemptResult.ts
+++ b/packages/almondrelay-gateway/src/request/attemptResult.ts
@@ -1,10 +1,10 @@
 import type { TargetAnswerHead } from './targetAnswerHead.js'
 
-/** What became of one request at one target. */
+/** Outcome of one attempt to have a request answered by a target. */
 export type AttemptResult =
-  /** The answer is here, whole. */
+  /** A complete answer was received. */
   | { kind: 'answered', head: TargetAnswerHead, body: Buffer }
-  /** Nothing was written: it can't have run. */
+  /** Nothing was written to the connection: the request can't have run. */
   | { kind: 'not-sent', reason: string }
-  /** It was written and no whole answer came: it may have run. */
+  /** The request was written and no complete answer was received: it may have run. */
   | { kind: 'broken', reason: string }
--- a/packages/almondrelay-gateway/src/request/awayAllowance.ts
+++ b/packages/almondrelay-gateway/src/request/awayAllowance.ts
@@ -1,17 +1,18 @@
-/** Part of the operators' bound on shifts that unplanned moves may use. */
+/** Share of the operators' bound on shifts between regions that spilled requests may use; planned steps use most of the rest. */
 const USED_PART = 0.45
-/** Moves that may come at once. */
+/** Maximum number of requests that may spill at once. */
 const BURST = 3
 
 /**
- * How many requests may leave the region of their key unplanned, because another one answers sooner just now.
+ * Limits how many requests may leave their key's home region unplanned, because another region would answer sooner at the moment.
  *
- * Answers short queues: moving a few requests is better than letting them wait, moving them all at
- * once floods another region and passes the operators' bound on shifts.
+ * Spilling a few requests keeps them out of a short queue. Spilling all of them at once would flood another region and exceed the
+ * operators' bound on shifts. Implemented as a token bucket: each request of the service adds a fraction of a token.
  */
 export class AwayAllowance {
   private tokens = BURST
 
+  /** @param shiftPart the operators' bound: share of the requests that may change their region from one window to the next */
   constructor (private readonly shiftPart: number) {}
 
   observeRequest (): void {
--- a/packages/almondrelay-gateway/src/request/choiceContext.ts
+++ b/packages/almondrelay-gateway/src/request/choiceContext.ts
@@ -1,28 +1,28 @@
 import type { TargetState } from './targetState.js'
 
-/** What a choice among targets depends on besides the targets themselves. */
+/** Everything that the choice of a target depends on besides the targets themselves. */
 export interface ChoiceContext {
   /** Monotonic milliseconds. */
   now: number
-  /** Hash of the object that the request is about; chance where it names none. */
+  /** Hash of the key of the object that the request is about; random where the request names no object. */
   keyHash: number
-  /** Region in which the key has its place. */
+  /** Home region of the key: the region to which the key's hash leads first. */
   homeRegion: string
-  /** Milliseconds there and back to a region. */
+  /** Returns the round-trip time to a region, in milliseconds. */
   findTripMs: (region: string) => number
-  /** Work on an object that the target holds, and on one that it doesn't. */
+  /** Expected work, in milliseconds, on an object that the target has cached (`warmMs`) and on one that it hasn't (`coldMs`). */
   warmMs: number
   coldMs: number
-  /** Work on the requests that are ahead in a queue, on average. */
+  /** Mean work, in milliseconds, on the requests that are ahead in a queue. */
   meanMs: number
-  /** Milliseconds within which an answer has its full value. */
+  /** Latency target: milliseconds within which an answer has its full value. */
   targetLatencyMs: number
-  /** Whether the target may get this request now: not evacuated, allowed by the route, not yet tried. */
+  /** Whether the target may get this request: it isn't evacuated, the route allows it, and it hasn't been tried yet. */
   isEligible: (target: TargetState) => boolean
   /** Whether this host may send one more request to a cold target. */
   allowCold: (target: TargetState) => boolean
-  /** Whether the request goes to its key's own target though that one is warming up and another holds the object. */
+  /** Whether the request is used to warm up its key's preferred target, although another target has the object cached. */
   warmsUp: boolean
-  /** Whether the request may leave its home region though that one has targets left. */
+  /** Whether the request may leave its home region although usable targets are left there. */
   allowAway: boolean
 }
--- a/packages/almondrelay-gateway/src/request/chooseTarget.ts
+++ b/packages/almondrelay-gateway/src/request/chooseTarget.ts
@@ -4,36 +4,39 @@
 import type { TargetChoice } from './targetChoice.js'
 import type { TargetState } from './targetState.js'
 
-/** A cold target works about twice as long for its first seconds. */
+/** Factor by which a cold target's work takes longer in its first seconds. */
 const COLD_TARGET_RATIO = 2
 /**
- * Latency targets that one failure costs: the request is late, and its repeat takes one of the few that all hosts
- * may send to the service. At this price a target that fails 4 of 10 loses its keys.
+ * Cost of one failure, as a multiple of the latency target: the request is late, and its retry is one of the few that all hosts
+ * together may send to the service. At this cost a target that fails 4 of 10 requests loses its keys.
  */
 const FAILURE_COST = 2
 
-/** Targets of a key that may hold its object: its own and the one to which it goes when that one is full. */
+/**
+ * Targets that are considered for a key because they may have its object cached: the preferred target, and the second one, which
+ * gets the request when the preferred target is full.
+ */
 const TARGETS_OF_KEY = 2
 
-/** Rank of a key's own target that holds nothing yet: as of a second place. */
+/** Rank of a preferred target that is warming up and has nothing cached yet: the same as that of a second target. */
 const STARTING_RANK = 1
 
-/** Part of the additional work on an object anew that holding it at a second target is taken to cost. */
+/** Cost of caching an object at a second target, as a share of the additional work that an uncached object takes. */
 const SECOND_PLACE_PART = 0.4
 /**
- * The same for work anew at a target all of whose slots are busy; it grows with the square of their use. An idle target costs
- * next to nothing, so that a hot key or one whose own target is slow finds a second place; in an overload of all targets
- * keys stay where they are held.
+ * Cost of working on an uncached object at a target whose slots are all busy, as a multiple of the additional work; it grows with
+ * the square of the target's utilisation. An idle target costs next to nothing, so that a hot key, or one whose preferred target
+ * is slow, gets a second target; while all targets are overloaded, keys stay where they are cached.
  */
 const BUSY_PLACE_PART = 8
 
 /**
- * The target from which an answer is expected soonest; undefined where none is left.
+ * Chooses the target with the lowest expected cost, mostly the one that answers soonest; undefined where no target is left.
  *
- * Answers many callers asking for the same objects: a target that handled an object lately answers it
- * several times faster, so each key has one target of its own (rendezvous hashing) and a second one for when
- * the first is full. Going to any target with room instead makes each work on every object anew: at a third of
- * its warm capacity a service is then overloaded and stays so, as the next requests find no object held either.
+ * Many callers ask for the same objects, and a target that has handled an object recently answers several times faster. So each
+ * key has a preferred target (by rendezvous hashing) and a second one for when the first is full. Sending requests to any target
+ * with a free slot would instead make every target work on every object from scratch: at a third of its warm capacity a service
+ * would then be overloaded, and it would stay so, as the next requests would find no object cached either.
  */
 export function chooseTarget (targets: readonly TargetState[], context: ChoiceContext): TargetChoice | undefined {
   const eligible = targets.filter((target) => !target.isLeaving() && context.isEligible(target))
@@ -52,7 +55,8 @@
   const choices = listChoices(settled, context)
   const starting = findStarting(targets.filter((target) => target.isWarmingUp(context.now)), choices[0], context)
   if (starting === undefined) return findCheapest(choices)
-  // One that has a queue by now is warm enough: sent there, the request would be refused though the holder has room.
+  // A target that has a queue by now is warm enough: a request sent there would be refused although the target that has the
+  // object cached has room.
   const warmsUp = context.warmsUp && starting.waitMs === 0 && !starting.target.isCold(context.now)
   return warmsUp ? starting : findCheapest([...choices, starting])
 }
@@ -61,12 +65,13 @@
   pickTargets(targets, context.keyHash, TARGETS_OF_KEY, (target) => isAllowed(target, context)).map(({ target, rank }) => estimateChoice(target, rank, context))
 
 /**
- * The key's own target where that one is warming up.
+ * Finds the key's preferred target where that target is warming up.
  *
- * Answers targets that join or come back: each is the first of some keys at once, and holds none of their objects. With all
- * requests of a key there, each until the first one's end works on the object anew; at a request a second and three
- * seconds of work that is four or five of them, most of which end by their time limit. The target that held the object
- * before goes on meanwhile, and gives way to the new one by queues as to any second place.
+ * A target that joins or comes back becomes the preferred target of some keys at once, and has none of their objects cached. If
+ * all requests of a key went there, each one that arrives before the first is finished would work on the object from scratch: at
+ * one request a second and three seconds of work that is four or five requests, most of which would time out. Meanwhile the
+ * target that had the object cached before goes on serving it, and passes the key's requests on by queue length, as to any second
+ * target.
  */
 const findStarting = (targets: readonly TargetState[], holder: TargetChoice | undefined, context: ChoiceContext): TargetChoice | undefined => {
   const [own] = pickTargets(targets, context.keyHash, 1, (target) => isAllowed(target, context))
@@ -102,9 +107,9 @@
 }
 
 /**
- * What a choice costs the requests after it. Work on an object anew takes slots from those behind it, the more the
- * busier the target is. An object that is held at a second place takes the place of another one there: targets
- * remember few, and with every key at two of them the memory of a small region is full and holds nothing for long.
+ * Estimates what a choice costs later requests. Work on an uncached object takes slots from the requests behind it, the more the
+ * busier the target is. An object that is cached at a second target evicts another object there: targets remember few objects,
+ * and with every key at two of them the memory of a small region would be full and keep nothing for long.
  */
 const estimateBurden = (isWarm: boolean, rank: number, use: number, coldExtraMs: number): number => {
   if (!isWarm) return coldExtraMs * (SECOND_PLACE_PART + BUSY_PLACE_PART * use ** 2)
--- a/packages/almondrelay-gateway/src/request/coldAllowance.ts
+++ b/packages/almondrelay-gateway/src/request/coldAllowance.ts
@@ -3,31 +3,31 @@
 import type { TargetState } from './targetState.js'
 
 /**
- * Part of a cold target's rate that its one host uses. Two hosts that see different fleets may both take
- * themselves for that one; the operators' bound of one and a half times the rate bears twice this part.
+ * Share of a cold target's permitted rate that its one sending host uses. Two hosts that see different fleets may both take
+ * themselves for the sending host; the operators' bound of one and a half times the rate is enough for twice this share.
  */
 const USED_PART = 0.7
 
 /**
- * Lets one host send to a cold target, evenly spaced.
+ * Lets one host send requests to a cold target, evenly spaced.
  *
- * Answers targets that come back cold: above the rate that they bear they crash, and each host alone
- * can't see what the others send. One host, the first by rendezvous hashing among the live ones, sends.
+ * A target that comes back cold crashes if it gets more requests than its permitted rate, and no host can see what the others
+ * send. So only one host sends: the first by rendezvous hashing among the live ones.
  */
 export class ColdAllowance {
   private readonly nextAt = new Map<string, number>()
-  /** Whether this host is the first for a target among hosts; it holds as long as the same list is given. */
+  /** Whether this host is the one that sends, by target id; valid for as long as the same list of hosts is given. */
   private readonly firsts = new Map<string, { hosts: readonly string[], isFirst: boolean }>()
 
   constructor (private readonly ownHost: string) {}
 
-  /** @param hosts names of the live hosts that may send; undefined while they aren't known */
+  /** @param hosts names of the live hosts that may send; undefined while they are unknown */
   allow (target: TargetState, perSecond: number, hosts: readonly string[] | undefined, now: number): boolean {
     if (perSecond <= 0 || hosts === undefined || !this.isFirst(target, hosts)) return false
     return now >= (this.nextAt.get(target.entry.id) ?? 0)
   }
 
-  /** Notes a request that goes to a cold target now. */
+  /** Records a request that is sent to a cold target now. */
   observeSend (target: TargetState, perSecond: number, now: number): void {
     this.nextAt.set(target.entry.id, now + 1_000 / (perSecond * USED_PART))
   }
--- a/packages/almondrelay-gateway/src/request/computeAllowanceRetry.ts
+++ b/packages/almondrelay-gateway/src/request/computeAllowanceRetry.ts
@@ -1,14 +1,20 @@
-/** Milliseconds after which one request in as many as are let through has room: rooms open with the sliding of the window. */
+/**
+ * Mean delay, in milliseconds, where one request is refused for each one that is admitted. The delay is proportional to this
+ * ratio, as room opens gradually while the window slides.
+ */
 const MEAN_ROOM_MS = 1_000
-/** Shortest and longest mean time to come back, in milliseconds: before, the refusal hasn't reached the caller; after, the window is new. */
+/**
+ * Bounds of the mean delay, in milliseconds: after a shorter one the refusal might not have reached the caller yet, after a
+ * longer one the whole window is new.
+ */
 const LEAST_RETRY_MS = 250
 const LONGEST_RETRY_MS = 2_500
 
 /**
- * Milliseconds after which a request beyond its organisation's allowance may come back: the less is let through, the longer.
- * Spread, so that those who were refused together don't come back together.
+ * Computes the milliseconds after which a request beyond its organisation's allowance may come back: the smaller the share of
+ * admitted requests, the longer. The result is randomised, so that callers that were refused together don't come back together.
  *
- * @param allowedPart part of the organisation's requests that is let through now
+ * @param admittedShare share of the organisation's requests that is admitted now
  * @param random in [0, 1)
  */
 export function computeAllowanceRetry (allowedPart: number, random: number): number {
--- a/packages/almondrelay-gateway/src/request/computeAllowedPart.ts
+++ b/packages/almondrelay-gateway/src/request/computeAllowedPart.ts
@@ -1,22 +1,32 @@
 import type { AllowanceInput } from './allowanceInput.js'
 
-/** Seconds of requests for which there has to be room: what the others let through is known about as late as that. */
+/** Seconds of requests for which there must be room: what the other hosts have admitted is known with about this delay. */
 const SETTLING_S = 0.8
-/** Part of the limit that is held back: what the others let through is known late, and a rush that begins passes what is aimed at. */
+/**
+ * Share of the limit that is kept in reserve: what the other hosts have admitted is known late, so a sudden rise in requests
+ * exceeds the value that is aimed at.
+ */
 const HELD_BACK_PART = 0.05
-/** Requests of that part that are let through all the same: a limit of a hundred in a window is passed by a few, if at all. */
+/**
+ * Requests by which the reserve is reduced, so that small limits need no reserve: a limit of a hundred in a window is exceeded by
+ * a few requests, if at all.
+ */
 const SPARED_REQUESTS = 5
 
 /**
- * Part of an organisation's requests that this host lets through, so that all hosts together keep to its allowance.
+ * Computes the share of an organisation's requests that this host admits, so that all hosts together keep to its allowance.
+ *
+ * An organisation may send many times its usual rate through many hosts, each of which sees a small share of its requests. With
+ * an equal split of the allowance, nearly all requests of an organisation that reaches each host once in several seconds would be
+ * refused, although it is far below its limit; and if each host counted only its own requests, they would together admit the
+ * limit once per host. Here every host knows the sum, as it was a moment ago, and refuses the same share at random: none below
+ * the limit, the excess above it.
+ *
+ * Requests that leave the window before the reports are up to date count as room: without that, an organisation that always
+ * exceeds its limit would get four fifths of it.
  *
- * Answers an organisation that sends many times its usual through many hosts, each of which sees a small part of its requests:
- * an equal split of the allowance refuses nearly all of one that asks each host once in seconds, though it is far below its
- * limit, and counts of a host's own let through as many times the limit as there are hosts. Here every host knows the sum, as
- * it was a moment ago, and drops the same part, by chance: below the limit nothing, above it as much as is too much.
- * What leaves the window meanwhile counts as room: without it an organisation that always asks for more gets four fifths of its limit.
- * A host that doesn't hear others keeps to the part of the limit that those it hears are of all hosts, so that two sides of
- * a partition, each with all of it, don't let through twice as much.
+ * A host that doesn't receive the reports of all others keeps to a share of the limit: the share of all hosts that it knows.
+ * Otherwise the two sides of a partition would each admit the whole limit, and together twice as much.
  */
 export function computeAllowedPart ({ limit, used, leavingPerSecond, askedPerSecond, reach }: AllowanceInput): number {
   const aim = limit - Math.max(0, limit * HELD_BACK_PART - SPARED_REQUESTS)
--- a/packages/almondrelay-gateway/src/request/computeRegionParts.ts
+++ b/packages/almondrelay-gateway/src/request/computeRegionParts.ts
@@ -1,38 +1,42 @@
 import type { RegionLoad } from './regionLoad.js'
 
-/** Part of a region's slots that may be busy with warm work before requests are planned to go elsewhere, where that is far. */
+/**
+ * Share of a region's slots that warm work may keep busy before requests are planned to run in other regions, where those are far
+ * away.
+ */
 const COMFORTABLE_USE = 0.55
 /**
- * The same where the trip is nothing beside the work. A region whose targets have some keys each is uneven: at half of
- * all slots busy, the target with twice the mean of keys is full, while the trip would cost its callers a twentieth.
+ * The same where the round trip is negligible beside the work. The load of a region whose targets have some keys each is uneven:
+ * with half of all slots busy, a target with twice the mean number of keys is full, while the round trip would cost its callers a
+ * twentieth.
  */
 const NEAR_USE = 0.3
-/** Part of the work that the trip is, from which on it counts as far. */
+/** Ratio of the round-trip time to the work from which on a region counts as far away. */
 const FAR_TRIP_PART = 0.25
-/** Room above the mean use of all regions up to which each is filled when all are busy. */
+/** Where all regions are busy, each is filled up to this multiple of their mean utilisation. */
 const USE_ABOVE_MEAN = 1.1
 
-/** Part of the use up to which regions are filled by which parts in force may pass it before they are changed. */
+/** Current shares are kept for as long as they exceed no region's maximum utilisation by more than this factor. */
 const BEARABLE_EXCESS = 1.15
 
 interface PlanInput {
   own: string
   loads: readonly RegionLoad[]
-  /** The trip to the nearest other region and back, as a part of the work on an object that is held. */
+  /** Ratio of the round-trip time to the nearest other region to the work on a cached object. */
   tripPart: number
-  /** The parts in force; undefined before the first plan. */
+  /** The shares in force; undefined before the first plan. */
   current: ReadonlyMap<string, number> | undefined
 }
 
 /**
- * The part of one region's requests that each region should serve, by load alone.
+ * Computes which share of one region's requests each region should serve, by load alone.
  *
- * Answers a region with more callers than its own targets bear: its queue grows without end while other
- * regions, a trip of some milliseconds away, have slots free. What doesn't fit is divided among the regions
- * with room, by their room; where none has any, it stays.
+ * In a region with more callers than its own targets can serve, queues would grow without end while other regions, some
+ * milliseconds away, have free slots. The excess is divided among the regions with room, in proportion to their room; where none
+ * has any, it stays.
  *
- * Where the trip is short, parts that can be borne stay: a key that moves home saves a trip and is worked on anew, which takes
- * far longer.
+ * Where the round trip is short, current shares are kept as long as the regions can bear them: a key that moves home saves a
+ * round trip, but its object is worked on from scratch, which takes far longer.
  */
 export function computeRegionParts ({ own, loads, tripPart, current }: PlanInput): Map<string, number> {
   const slots = loads.reduce((sum, each) => sum + each.slots, 0)
@@ -51,7 +55,10 @@
   return new Map([[own, ownPart], ...rooms.map((each): [string, number] => [each.region, (1 - ownPart) * each.room / room])])
 }
 
-/** Whether no region is filled beyond the use that is aimed at while these parts of the home region's requests run there. */
+/**
+ * Whether no region exceeds its maximum utilisation by more than is tolerated while these shares of the home region's requests
+ * run there.
+ */
 const isBearable = (home: RegionLoad, loads: readonly RegionLoad[], parts: ReadonlyMap<string, number>, use: number): boolean => loads.every((each) => {
   const part = parts.get(each.region) ?? 0
   if (part === 0) return true
--- a/packages/almondrelay-gateway/src/request/computeRetryPause.ts
+++ b/packages/almondrelay-gateway/src/request/computeRetryPause.ts
@@ -1,16 +1,17 @@
 interface PauseBounds {
-  /** Milliseconds after the first failure, doubled with each further one. */
+  /** Delay in milliseconds after the first failure; doubled with each further one. */
   firstMs: number
-  /** Milliseconds that the doubling ends at. */
+  /** Maximum of the doubled delay, in milliseconds. */
   longestMs: number
 }
 
 /**
- * Milliseconds before a failed call is made again: half to one and a half of the doubled pause. Spread also at the longest:
- * hosts that lost the store together would else return to it together for as long as it is away.
+ * Computes the milliseconds to wait before a failed call is retried: 0.5 to 1.5 times the doubled delay. The longest delay is
+ * randomised too: otherwise hosts that lost the store together would call it at the same moments for as long as it is
+ * unavailable.
  *
- * @param failures calls that failed in a row, this one included
- * @param chance from 0 to 1
+ * @param failures calls that failed in a row, including the last one
+ * @param random in [0, 1)
  */
 export function computeRetryPause ({ firstMs, longestMs }: PauseBounds, failures: number, chance: number): number {
   return Math.min(longestMs, firstMs * 2 ** (failures - 1)) * (0.5 + chance)
--- a/packages/almondrelay-gateway/src/request/decideAdmission.ts
+++ b/packages/almondrelay-gateway/src/request/decideAdmission.ts
@@ -1,23 +1,24 @@
 import type { AdmissionInput } from './admissionInput.js'
 
 /**
- * Queue, in parts of the work on one request, that is accepted in any case: a request that can't be on time is served where
- * a slot is all but free. With more, requests whose object is worked on anew fill the queues in which shorter ones, whose object
- * is held, would still be on time; with less, keys that move to another region are refused there.
+ * Wait that is accepted in any case, as a ratio to the work on the request: a request that can't be on time is still served where
+ * a slot is almost free. With a higher ratio, requests that need work from scratch would fill the queues in which shorter ones,
+ * whose object is cached, would still be on time; with a lower one, requests for keys that move to another region would be
+ * refused there.
  */
 const LEAST_WAIT_PART = 0.15
-/** Part of the time left after trip and work that a request may spend in a queue and still be on time. */
+/** Share of the time left after round trip and work that a request may spend in a queue and still count as being on time. */
 const SLACK_PART = 0.9
-/** Milliseconds after which a refused caller may come back at the earliest, so that it doesn't find the same queue. */
+/** Minimum time, in milliseconds, after which a refused caller may come back, so that it doesn't find the same queue. */
 const LEAST_RETRY_MS = 40
 
 /**
- * Milliseconds after which a caller may come back, or 0 where its request is sent now.
+ * Returns the milliseconds after which a caller may come back, or 0 where its request is sent now.
  *
- * Answers overload: with long queues every answer is late, and late answers are worth little, though targets work
- * without a pause. A queue no longer than what still lets the answer be on time keeps those in it on time; the others
- * are told at once when there is room. Where no queue at all would be on time, the request is served only beside others:
- * it still earns a part, and its object is held from then on.
+ * Under overload with long queues every answer is late, and late answers are worth little, although the targets are always busy.
+ * A request is therefore admitted only to a queue short enough for its answer to be on time; the others are refused at once, with
+ * the time after which there will be room. A request that would be late even without a queue is served only where it hardly has
+ * to wait: its answer still has some value, and its object is cached from then on.
  */
 export function decideAdmission ({ choice, targetLatencyMs, elapsedMs, leftMs }: AdmissionInput): number {
   const slackMs = (targetLatencyMs - elapsedMs - choice.tripMs - choice.workMs) * SLACK_PART
--- a/packages/almondrelay-gateway/src/request/decideNextStep.ts
+++ b/packages/almondrelay-gateway/src/request/decideNextStep.ts
@@ -3,15 +3,18 @@
 import { FIRST_FAILURE_STATUS } from './firstFailureStatus.js'
 import { NextStep } from './nextStep.js'
 
-/** Statuses that promise a caller that its request hasn't run; a target's own are passed on only with its word for it. */
+/**
+ * Statuses that assure a caller that its request hasn't run. From a target they count only where it also states that it didn't
+ * run the request; without that statement the request may have run.
+ */
 const PROMISING_STATUSES = [408, 421, 429, 503]
 
 /**
- * What to do with the result of one attempt.
+ * Decides what to do with the result of one attempt.
  *
- * A request that isn't idempotent goes out again only where nothing was written or the target itself states
- * that it didn't run it: after a reset, a cut answer or silence it may have run, and a second run would
- * book the same order twice.
+ * A request that isn't idempotent is sent again only where nothing was written or the target itself states that it didn't run it.
+ * After a connection reset, a truncated answer or a timeout the request may have run, and a second run would book the same order
+ * twice.
  */
 export function decideNextStep (result: AttemptResult, isIdempotent: boolean): NextStep {
   const afterDoubt = isIdempotent ? NextStep.retryMaybeRun : NextStep.giveUp
--- a/packages/almondrelay-gateway/src/request/describeResult.ts
+++ b/packages/almondrelay-gateway/src/request/describeResult.ts
@@ -2,13 +2,13 @@
 import type { AttemptResult } from './attemptResult.js'
 
 interface ResultWords {
-  /** For people. */
+  /** Text for people. */
   text: string
-  /** For the account. */
+  /** Reason code for the account. */
   cause: RefusalReason
 }
 
-/** What became of an attempt, in words. */
+/** Describes the result of an attempt. */
 export function describeResult (result: AttemptResult): ResultWords {
   if (result.kind === 'not-sent') return { text: `not-sent: ${result.reason}`, cause: RefusalReason.targetUnreachable }
   if (result.kind === 'broken') return { text: `broken: ${result.reason}`, cause: RefusalReason.answerLost }
--- a/packages/almondrelay-gateway/src/request/findLapse.ts
+++ b/packages/almondrelay-gateway/src/request/findLapse.ts
@@ -1,20 +1,24 @@
-/** Part of all targets whose entries vanish at once that shows a lapse and not as many ends. */
+/**
+ * Share of all known targets whose entries must be missing at once for that to count as a lapse of entries and not as so many
+ * exits.
+ */
 const LAPSE_PART = 0.5
-/** Targets that must vanish at once for that; fewer may well end together. */
+/** Minimum number of targets whose entries must be missing at once; fewer may well exit together. */
 const LEAST_LAPSED = 3
 
 interface EntryView {
-  /** Targets known before, with the revisions at which their entries came into being. */
+  /** Targets known before, by id, with the revisions at which their entries were created. */
   known: ReadonlyMap<string, number>
-  /** Those whose entries stand now. */
+  /** Targets whose entries exist now, in the same form. */
   present: ReadonlyMap<string, number>
 }
 
 /**
- * Whether entries that are missing may have lapsed while the store was away, and are about to be written again.
+ * Whether missing entries may have lapsed while the store was unavailable, and are about to be written again.
  *
- * A host that was cut off by itself sees the same silence as one whose store was down, and must not keep targets that
- * left meanwhile. After a lapse the others' entries are new ones, or there are none yet; without one they are as before.
+ * A host that alone was cut off from the store can't tell this from an outage of the store by the silence, but must not keep
+ * targets that left meanwhile. The entries that exist show the difference: after a lapse they are new ones, or there are none
+ * yet; otherwise they are the same as before.
  */
 export function findLapse ({ known, present }: EntryView): boolean {
   const kept = [...known.keys()].filter((id) => present.has(id))
--- a/packages/almondrelay-gateway/src/request/firstFailureStatus.ts
+++ b/packages/almondrelay-gateway/src/request/firstFailureStatus.ts
@@ -1,2 +1,2 @@
-/** Statuses from here on are failures of the target. */
+/** Lowest status that counts as a failure of the target. */
 export const FIRST_FAILURE_STATUS = 500
--- a/packages/almondrelay-gateway/src/request/hostLoad.ts
+++ b/packages/almondrelay-gateway/src/request/hostLoad.ts
@@ -1,33 +1,32 @@
 /**
- * Delay of this host's own work, in milliseconds, from which it sheds requests. Turns of a processor that is shared
- * come up to 100 ms late on a host that has room; requests that waited longer than this lose their latency target.
+ * Delay of this host's own work, in milliseconds, above which it sheds requests. On a shared processor, time slices come up to
+ * 100 ms late even on a host that has capacity left; requests that waited longer than this delay miss their latency target.
  */
 const ACCEPTED_DELAY_MS = 150
-/** The part that is shed at most: some requests always go through, so that a delay that is over is seen. */
+/** Maximum share of requests that is shed: some requests are always admitted, so that the host notices when the delay is over. */
 const MOST_SHED = 0.95
-/** What is left of the part after each observation without a delay: from the most to a tenth within half a second. */
+/** Factor by which the shed share falls with each observation without a delay: from the maximum to a tenth within half a second. */
 const CALMING = 0.8
-/** Below this part nothing is shed any more. */
+/** Shed share below which nothing is shed any more. */
 const LEAST_SHED = 0.02
-/** Exponents for the most and the least urgent requests: the less urgent are shed more, and no kind is shut out. */
+/** Exponents for the most and the least urgent requests: less urgent requests are shed more, but no kind of request is shut out. */
 const URGENT_WEIGHT = 0.8
 const PATIENT_WEIGHT = 1.2
 /**
- * Milliseconds after which a shed caller may come back: twice the delay within these bounds. Another host may serve it
- * at once, and callers wait for a few seconds in all.
+ * Bounds of the time, in milliseconds, after which a shed caller may come back; between them it is twice the delay. Another host
+ * may serve the caller at once, and callers wait for a few seconds in all.
  */
 const LEAST_RETRY_MS = 200
 const LONGEST_RETRY_MS = 1_000
 const RETRY_DELAYS = 2
 
 /**
- * Whether this host has processor time for one more request.
+ * Decides whether this host has processor time for one more request.
  *
- * Answers a host that gets more requests than its processor carries, as the last one left of many, or one that was just
- * restarted: requests wait unread for seconds, callers leave meanwhile, and the host then spends its time on requests
- * whose callers are gone, so that almost nobody is served. Refused at once, a caller finds another host or comes
- * back, and those who are let in are answered in time. The delay is that of a timer of the host's own or of
- * the request that waits longest for its turn.
+ * A host may get more requests than its processor can handle, for example as the last one left of many or just after a restart.
+ * Requests then wait unread for seconds, callers disconnect meanwhile, and the host spends its time on requests whose callers are
+ * gone, so that almost nobody is served. A caller that is refused at once tries another host or comes back, and the admitted
+ * requests are answered in time. The delay is that of a timer of the host or of the request that has waited longest.
  */
 export class HostLoad {
   private delayMs = 0
@@ -35,17 +34,17 @@
   private shedPart = 0
 
   /**
-   * Takes note of how late this host is; true where shedding begins or ends with it.
+   * Records the current delay of this host; returns whether shedding begins or ends with it.
    *
-   * @param readDelayMs for how long what has been read, or is due, waits to be worked on
-   * @param acceptDelayMs for how long connections have waited to be accepted
+   * @param readDelayMs milliseconds for which received data, or work that is due, waits to be processed
+   * @param acceptDelayMs milliseconds for which connections have waited to be accepted
    */
   observeDelay (readDelayMs: number, acceptDelayMs = 0): boolean {
     const wasShedding = this.isShedding
     const delayMs = Math.max(readDelayMs, acceptDelayMs)
     this.readDelayMs = readDelayMs
     this.delayMs = delayMs
-    // Of the work of one delay, what fits into the accepted one is kept.
+    // Keeps the share of the delayed work that fits into the accepted delay.
     const excess = delayMs > ACCEPTED_DELAY_MS ? 1 - ACCEPTED_DELAY_MS / delayMs : 0
     const calmed = this.shedPart * CALMING
     this.shedPart = Math.min(MOST_SHED, Math.max(excess, calmed < LEAST_SHED ? 0 : calmed))
@@ -56,18 +55,18 @@
     return this.shedPart > 0
   }
 
-  /** How late this host is, in milliseconds. */
+  /** Current delay of this host, in milliseconds. */
   get delay (): number {
     return this.delayMs
   }
 
-  /** How long a request on an open connection waits here before it is read, in milliseconds. */
+  /** Milliseconds for which a request on an open connection waits before it is read. */
   get readDelay (): number {
     return this.readDelayMs
   }
 
   /**
-   * @param patience 0 for the most urgent requests, 1 for the least
+   * @param relativePriority 0 for the most urgent requests, 1 for the least urgent ones
    * @param random in [0, 1)
    */
   allow (patience: number, random: number): boolean {
@@ -77,7 +76,7 @@
   }
 
   /**
-   * Milliseconds after which a shed caller may come back, spread so that not all return together.
+   * Computes the milliseconds after which a shed caller may come back, randomised so that callers don't all return together.
    *
    * @param random in [0, 1)
    */
--- a/packages/almondrelay-gateway/src/request/knownUse.ts
+++ b/packages/almondrelay-gateway/src/request/knownUse.ts
@@ -1,8 +1,9 @@
-/** One organisation's requests at several hosts together. */
+/** Usage of one organisation's allowance at several hosts together. */
 export interface KnownUse {
-  /** Let through within the window of its allowance. */
+  /** Requests that were admitted within the window of the allowance. */
   letThrough: number
-  /** Of those, the ones that leave the window within the next second, and make room. */
+  /** Of those, the requests that leave the window within the next second and thus make room. */
   leavingPerSecond: number
+  /** Requests a second that the organisation's callers send. */
   askedPerSecond: number
 }
--- a/packages/almondrelay-gateway/src/request/nextStep.ts
+++ b/packages/almondrelay-gateway/src/request/nextStep.ts
@@ -1,14 +1,14 @@
 /** What to do after an attempt ended. */
 const NextStep = {
-  /** Give the target's answer to the caller. */
+  /** Pass the target's answer to the caller. */
   deliver: 'deliver',
-  /** Try another target; the request hasn't reached one, so no repeat is spent. */
+  /** Try another target; the request hasn't reached one, so this doesn't use the retry allowance. */
   resend: 'resend',
-  /** Try another target within the allowance for repeats; the target said that it didn't run it. */
+  /** Try another target within the retry allowance; this one stated that it didn't run the request. */
   retryNotRun: 'retry-not-run',
-  /** Try another target within the allowance; this one may have run it. */
+  /** Try another target within the retry allowance; this one may have run the request. */
   retryMaybeRun: 'retry-maybe-run',
-  /** Nothing more may be sent: it may have run and must not run twice. */
+  /** Send nothing more: the request may have run and must not run twice. */
   giveUp: 'give-up'
 } as const
 
--- a/packages/almondrelay-gateway/src/request/organisationUse.ts
+++ b/packages/almondrelay-gateway/src/request/organisationUse.ts
@@ -2,16 +2,19 @@
 import { SlidingCount } from './slidingCount.js'
 import type { UseTotals } from './useTotals.js'
 
-/** Milliseconds over which the present rate of requests is counted: twice the pause between two reports of a host. */
+/** Milliseconds over which the current request rate is counted: twice the interval between two reports of a host. */
 const RATE_MS = 500
-/** Milliseconds ahead for which is told what leaves the window. */
+/** Time ahead, in milliseconds, for which the requests that will leave the window are counted. */
 const LEAVING_MS = 1_000
-/** Standard deviations by which the present rate has to differ from the mean of the window before it counts as changed. */
+/** Standard deviations by which the current rate must differ from the mean of the window to count as changed. */
 const DOUBT = 2
-/** Ratio by which a rate that is rising is raised. */
+/** Factor by which a rising rate is raised. */
 const RISING = 1.5
 
-/** One organisation's requests at this host, and at the other hosts of its availability zone as far as they told this one. */
+/**
+ * Counts one organisation's requests at this host and, as far as they report to this host, at the other hosts of its availability
+ * zone.
+ */
 export class OrganisationUse {
   private asked = 0
   private letThrough = 0
@@ -26,7 +29,7 @@
     this.zoneAsked = new SlidingCount(windowMs)
   }
 
-  /** Since this host's start. */
+  /** Totals since this host's start. */
   get totals (): UseTotals {
     return { asked: this.asked, letThrough: this.letThrough }
   }
@@ -42,25 +45,25 @@
     this.zoneLetThrough.add(now)
   }
 
-  /** A request that was let through wasn't run and won't be. */
+  /** Takes back an admitted request that wasn't run and won't be. */
   releaseUse (letThroughAt: number, now: number): void {
     this.letThrough -= 1
     this.ownLetThrough.remove(letThroughAt, now)
     this.zoneLetThrough.remove(letThroughAt, now)
   }
 
-  /** Takes in what another host of the zone has counted since its last word. */
+  /** Adds what a peer of the zone has counted since its last report. */
   hearPeer (increase: UseTotals, now: number): void {
     this.zoneAsked.add(now, increase.asked)
     this.zoneLetThrough.add(now, increase.letThrough)
   }
 
-  /** Let through by this host in the last milliseconds. */
+  /** Counts the requests that this host admitted in the last `spanMs` milliseconds. */
   countOwn (now: number, spanMs: number): number {
     return this.ownLetThrough.estimate(now, spanMs)
   }
 
-  /** At this host and those that told it of theirs. */
+  /** Estimates the usage at this host and at the peers of its zone that report to it. */
   describeZone (now: number): KnownUse {
     const letThrough = Math.max(0, this.zoneLetThrough.estimate(now, this.windowMs))
     const leaving = Math.max(0, letThrough - this.zoneLetThrough.estimate(now, this.windowMs - LEAVING_MS))
@@ -68,8 +71,9 @@
   }
 
   /**
-   * The mean of the window, or the last half second where it differs by more than chance: few requests come unevenly without
-   * meaning more. What is rising is taken to rise further while the word of it is on its way.
+   * Estimates the requests a second: the mean of the window, or the rate of the last half second where that differs by more than
+   * chance, as a few requests come unevenly without a change of the rate. A rising rate is assumed to rise further while the
+   * report of it is on its way.
    */
   private estimateAsked (now: number): number {
     const last = this.zoneAsked.estimate(now, RATE_MS)
--- a/packages/almondrelay-gateway/src/request/pickTargets.ts
+++ b/packages/almondrelay-gateway/src/request/pickTargets.ts
@@ -3,13 +3,13 @@
 
 interface PickedTarget {
   target: TargetState
-  /** Place in the order of the key among all targets, those that weren't allowed too; 0 is the key's own. */
+  /** Position in the key's order of all targets, including those that aren't allowed; 0 is the preferred target. */
   rank: number
 }
 
 /**
- * The first targets for a key by rendezvous hashing: a target that comes or goes moves its own keys only.
- * One pass and no sort: the cost of a choice among a thousand targets is most of a request's processor time.
+ * Picks the first targets for a key by rendezvous hashing: a target that joins or leaves moves only its own keys. Works in a
+ * single pass without sorting: the choice among a thousand targets takes most of a request's processor time.
  */
 export function pickTargets (targets: readonly TargetState[], keyHash: number, count: number, isAllowed: (target: TargetState) => boolean): PickedTarget[] {
   const weights = targets.map((target) => computePairHash(target.hash, keyHash))
--- a/packages/almondrelay-gateway/src/request/planDeclaredParts.ts
+++ b/packages/almondrelay-gateway/src/request/planDeclaredParts.ts
@@ -4,19 +4,22 @@
   service: string
   ownRegion: string
   regions: readonly string[]
-  /** Parts by load alone. */
+  /** Shares by load alone. */
   byLoad: ReadonlyMap<string, number>
   steering: DeclaredSteering
   /** Slots that the requests of the region's own callers keep busy. */
   ownBusySlots: number
 }
 
-/** Part of a cap up to which parts are planned: requests come in waves, and what meets a full cap loses its place. */
+/**
+ * Share of a cap that planned shares may fill: requests come in waves, and a request that meets a full cap can't run where its
+ * key is.
+ */
 const CAP_PART = 0.8
 
 /**
- * The parts of a region's requests for one service under what operators declared: their weights go before the load, a
- * drained region gets nothing, and what a cap doesn't bear stays at home.
+ * Computes the shares of a region's requests for one service under what operators declared: their weights take precedence over
+ * the load, a drained region gets nothing, and what exceeds a cap stays in the region.
  */
 export function planDeclaredParts ({ service, ownRegion, regions, byLoad, steering, ownBusySlots }: DeclaredPlanInput): Map<string, number> {
   const declared = steering.findWeights(service)
@@ -35,7 +38,8 @@
   return parts
 }
 
-// Where every region is drained, callers are served where they would be without the drains rather than nowhere.
+// Where the weighted regions are all drained, the other regions that aren't drained share the requests equally. Where every
+// region is drained, callers are served as they would be without the drains rather than not at all.
 const listOpenWeights = (wanted: ReadonlyMap<string, number>, regions: readonly string[], steering: DeclaredSteering): Array<readonly [string, number]> => {
   const open = [...wanted].filter(([region, weight]) => weight > 0 && !steering.isRegionDrained(region))
   if (open.length > 0) return open
--- a/packages/almondrelay-gateway/src/request/putBounded.ts
+++ b/packages/almondrelay-gateway/src/request/putBounded.ts
@@ -1,4 +1,4 @@
-/** Puts a value under a key as the newest of a map, and drops the oldest where that makes too many. */
+/** Sets a key as the newest entry of a map, and removes the oldest entry where the map then has too many. */
 export function putBounded<Value> (map: Map<string, Value>, key: string, value: Value, most: number): void {
   map.delete(key)
   map.set(key, value)
--- a/packages/almondrelay-gateway/src/request/regionLoad.ts
+++ b/packages/almondrelay-gateway/src/request/regionLoad.ts
@@ -1,7 +1,7 @@
-/** Load and room of one region for one service. */
+/** Load and capacity of one region for one service. */
 export interface RegionLoad {
   region: string
-  /** Slots of the targets that take requests there. */
+  /** Slots of the targets in the region that take requests. */
   slots: number
   /** Slots that the requests of the region's own callers would keep busy. */
   busySlots: number
--- a/packages/almondrelay-gateway/src/request/regionParts.ts
+++ b/packages/almondrelay-gateway/src/request/regionParts.ts
@@ -2,35 +2,35 @@
 import { computePairHash } from '../version/computePairHash.js'
 
 const HASH_RANGE = 2 ** 32
-/** Milliseconds of the window in which the operators bound a shift. */
+/** Length of the window, in milliseconds, for which the operators bound shifts between regions. */
 const SHIFT_WINDOW_MS = 2_000
-/** Part of the operators' bound that planned steps use; the rest is for requests that leave a full region at once. */
+/** Share of the operators' bound that planned steps use; the rest is for requests that spill from a full region at once. */
 const USED_PART = 0.45
 /**
- * Difference between plan and parts at which a move begins and at which it ends. Each key that moves is worked on anew
- * where it arrives; small differences cost less than that, and the parts that every host would begin with
- * after a restart of all stay in force for longer.
+ * Difference between planned and current shares at which a move begins, and at which it ends. The object of each key that moves
+ * is worked on from scratch in its new region; small differences cost less than that. The threshold also keeps the shares with
+ * which all hosts would begin after a common restart in force for longer.
  */
 const MOVE_FROM = 0.15
 const MOVE_TO = 0.03
 
 /**
- * The parts of one service's requests that go to each region, moved in small steps.
+ * Shares of one service's requests that go to each region, moved in small steps.
  *
- * Answers plans that change at once: a plan follows load that lags, so a jump to it overshoots, floods
- * targets that hold none of the objects and swings back. Times are monotonic milliseconds.
+ * A plan follows load that is reported late, so a jump to each new plan would overshoot, flood targets that have none of the
+ * objects cached, and swing back. Times are monotonic milliseconds.
  */
 export class RegionParts {
   private parts: Map<string, number>
   private movedAt: number | undefined
   private isMoving = false
 
-  /** @param shiftPart part of the requests that may change their region from one window to the next */
+  /** @param shiftPart share of the requests that may change their region from one window to the next */
   constructor (private readonly own: string, private readonly shiftPart: number) {
     this.parts = new Map([[own, 1]])
   }
 
-  /** Takes parts over as they are, from a peer or for the first plan. */
+  /** Takes over shares unchanged, from a peer or from the first plan. */
   adopt (parts: ReadonlyMap<string, number>, now: number): void {
     this.parts = new Map(parts)
     this.movedAt = now
@@ -44,7 +44,7 @@
     return this.parts
   }
 
-  /** Goes towards a plan as far as the bound allows for the time since the last step. */
+  /** Moves the shares towards a plan, as far as the bound allows for the time since the last step. */
   moveTowards (plan: ReadonlyMap<string, number>, now: number): void {
     const elapsedMs = Math.min(SHIFT_WINDOW_MS / 4, now - (this.movedAt ?? now))
     this.movedAt = now
@@ -57,7 +57,7 @@
     for (const { region, gap } of gaps) this.parts.set(region, (this.parts.get(region) ?? 0) + gap * step)
   }
 
-  /** The region in which a key has its place, by weighted rendezvous hashing: a step moves as few keys as it can. */
+  /** Finds the home region of a key by weighted rendezvous hashing: a step moves as few keys as possible. */
   findRegion (keyHash: number): string {
     let best = this.own
     let bestScore = -Infinity
--- a/packages/almondrelay-gateway/src/request/retryAllowance.ts
+++ b/packages/almondrelay-gateway/src/request/retryAllowance.ts
@@ -1,23 +1,26 @@
 import { SlidingCount } from './slidingCount.js'
 
-/** Part of the operators' bound that is used: hosts may see different fleets, and a window may begin anywhere. */
+/**
+ * Share of the operators' bound that is used: hosts may see different fleets, and the bound holds for windows that begin at any
+ * time.
+ */
 const USED_PART = 0.7
 
 interface RetryBound {
-  /** Repeats allowed for each request of the service. */
+  /** Retries allowed for each request of the service. */
   ratio: number
-  /** Repeats allowed besides, for all hosts together. */
+  /** Further retries allowed, for all hosts together. */
   extra: number
-  /** Milliseconds of the sliding window in which both are counted. */
+  /** Length, in milliseconds, of the sliding window in which requests and retries are counted. */
   windowMs: number
 }
 
 /**
- * This host's part of the repeats that all hosts together may send to one service.
+ * Limits this host to its share of the retries that all hosts together may send to one service.
  *
- * Answers a failing service: each host that repeats on its own account multiplies the load of what is
- * left. The part for each request needs no agreement; the fixed part is divided by the number of hosts, and
- * a host that doesn't know its fleet takes none of it.
+ * When a service fails, hosts that each retry on their own multiply the load on what is left of it. The retries allowed per
+ * request need no agreement between hosts; the further ones are divided by the number of hosts, and a host that doesn't know the
+ * fleet uses none of them.
  */
 export class RetryAllowance {
   private readonly requests: SlidingCount
@@ -32,14 +35,14 @@
     this.requests.add(now)
   }
 
-  /** @param hosts live hosts; undefined while this host doesn't know them */
+  /** @param hosts number of live hosts; undefined while it is unknown */
   allow (now: number, hosts: number | undefined): boolean {
     const fixedPart = hosts === undefined ? 0 : this.bound.extra / hosts
     const allowed = (this.requests.count(now) * this.bound.ratio + fixedPart) * USED_PART
     return this.repeats.count(now) + 1 <= allowed
   }
 
-  /** Spends one repeat; false where none is left. */
+  /** Uses one retry; returns false where none is left. */
   use (now: number, hosts: number | undefined): boolean {
     if (!this.allow(now, hosts)) return false
     this.repeats.add(now)
--- a/packages/almondrelay-gateway/src/request/runningMean.ts
+++ b/packages/almondrelay-gateway/src/request/runningMean.ts
@@ -1,7 +1,7 @@
-/** Samples after which an estimate goes by what was measured alone. */
+/** Number of samples from which on an estimate depends on the measurements alone. */
 const FULL_SAMPLES = 6
 
-/** Mean of all samples at first, then of the last ones. */
+/** Mean of all samples at first, later weighted towards the most recent ones. */
 export class RunningMean {
   private samples = 0
   private mean = 0
@@ -18,7 +18,7 @@
     this.mean += (value - this.mean) * Math.max(this.gain, 1 / this.samples)
   }
 
-  /** The mean, or with few samples a value between it and what is expected without any. */
+  /** Returns the mean or, with few samples, a value between the mean and what is expected without any samples. */
   estimate (expected: number): number {
     return expected + (this.mean - expected) * Math.min(1, this.samples / FULL_SAMPLES)
   }
--- a/packages/almondrelay-gateway/src/request/serviceTimes.ts
+++ b/packages/almondrelay-gateway/src/request/serviceTimes.ts
@@ -3,27 +3,31 @@
 
 /** Weight of one answer in an estimate: about the last twenty answers count. */
 const GAIN = 0.05
-/** Work on an object that the target holds, as a part of the latency target, before any answer was measured. */
+/** Ratio of the work on a cached object to the latency target, assumed before any answer was measured. */
 const FIRST_WARM_PART = 0.4
-/** The same for an object that it doesn't hold. */
+/** The same for an object that isn't cached. */
 const FIRST_COLD_PART = 1.2
 /**
- * Times the work on an object that is held from which on an answer is taken for one about another object, as long as none
- * such was measured: a guess of the longer time that is twice too long would take it for the shorter one for ever.
+ * Ratio to the work on a cached object from which on an answer counts as one about an uncached object, for as long as no such
+ * answer was measured. The guess of the work on uncached objects isn't used for that: if it were twice too long, answers about
+ * uncached objects would be taken for answers about cached ones for ever.
  */
 const FIRST_SPLIT = 1.6
-/** Part of the work on an object that isn't held up to which an answer about one that should be held is taken for that. */
+/**
+ * Ratio to the work on an uncached object up to which an answer about an object that should be cached counts as one about a
+ * cached object.
+ */
 const HELD_PART = 0.9
-/** Part of the same from which on work that never ended says that such work takes longer than was believed. */
+/** Ratio to the work on an uncached object from which on work that never finished shows that such work takes longer than estimated. */
 const OVERRUN_PART = 0.8
-/** How much longer than its time limit work is taken to last that was ended there. */
+/** Factor by which work that its time limit ended is assumed to take longer than the limit. */
 const OVERRUN_RATIO = 1.15
 
 /**
- * Milliseconds that targets work on one request, learnt from answers.
+ * Estimates the milliseconds that targets work on one request, from their answers.
  *
- * Answers fleets of many hosts, each of which sees an object too seldom to know whether its target holds it: an answer
- * counts for the time that it is nearer to.
+ * In a fleet of many hosts, each one sees an object too seldom to know whether its target has it cached. So an answer counts for
+ * the estimate, of cached or of uncached objects, that its duration is nearer to.
  */
 export class ServiceTimes {
   private readonly warm = new RunningMean(GAIN)
@@ -31,31 +35,31 @@
   private readonly mean = new RunningMean(GAIN)
   private region: WorkTimes | undefined
 
-  /** @param wider times that hold as long as few answers were measured here, as those of all routes to a service */
+  /** @param fallback times that are used while few answers were measured here, such as those of all routes to a service */
   constructor (private readonly wider?: ServiceTimes) {}
 
-  /** Takes over what other hosts of the region have measured, for as long as this one has measured little. */
+  /** Takes over what other hosts of the region have measured; used while this host has measured little. */
   hearRegion (times: WorkTimes): void {
     this.region = times
   }
 
-  /** Work on an object that the target has handled lately. */
+  /** Returns the expected work on an object that the target has handled recently. */
   getWarmMs (targetLatencyMs: number): number {
     return this.warm.estimate(this.wider?.getWarmMs(targetLatencyMs) ?? this.region?.warmMs ?? targetLatencyMs * FIRST_WARM_PART)
   }
 
-  /** Work on an object that is new to the target; never less than on one that it holds. */
+  /** Returns the expected work on an object that is new to the target; never less than on a cached one. */
   getColdMs (targetLatencyMs: number): number {
     const expected = this.wider?.getColdMs(targetLatencyMs) ?? this.region?.coldMs ?? targetLatencyMs * FIRST_COLD_PART
     return Math.max(this.cold.estimate(expected), this.getWarmMs(targetLatencyMs))
   }
 
-  /** Work on a request as they come: what those ahead in a queue will take. */
+  /** Returns the mean work on a request; used for the requests ahead in a queue. */
   getMeanMs (targetLatencyMs: number): number {
     return this.mean.estimate(this.wider?.getMeanMs(targetLatencyMs) ?? this.getColdMs(targetLatencyMs))
   }
 
-  /** @param isHeld this host had the target work on the same object lately */
+  /** @param isCached whether this host recently had the target work on the same object */
   learn (durationMs: number, isHeld: boolean, targetLatencyMs: number): void {
     const warmMs = this.getWarmMs(targetLatencyMs)
     const coldMs = this.getColdMs(targetLatencyMs)
@@ -64,7 +68,7 @@
     this.mean.learn(durationMs)
   }
 
-  /** The longest time that counts as of an object that is held. */
+  /** Computes the longest duration that counts as work on a cached object. */
   private findMostWarm (isHeld: boolean, warmMs: number, coldMs: number): number {
     if (isHeld) return Math.max(warmMs, coldMs * HELD_PART)
     return this.hasMeasuredCold() ? Math.sqrt(warmMs * coldMs) : warmMs * FIRST_SPLIT
@@ -75,8 +79,8 @@
   }
 
   /**
-   * Notes work that was ended by its time limit. Were only answers counted, work that as often as not takes longer than it may
-   * would be taken for shorter than its limit, and be begun again and again.
+   * Records work that was ended by its time limit. If only answers were counted, work that exceeds its limit about every second
+   * time would be estimated as shorter than the limit, and would be started again and again.
    */
   learnOverrun (elapsedMs: number, targetLatencyMs: number): void {
     if (elapsedMs < this.getColdMs(targetLatencyMs) * OVERRUN_PART) return
--- a/packages/almondrelay-gateway/src/request/shiftCapUse.ts
+++ b/packages/almondrelay-gateway/src/request/shiftCapUse.ts
@@ -1,17 +1,17 @@
 import type { DeclaredSteering } from '../version/declaredSteering.js'
 
 /**
- * This host's part of what may run in other regions under the caps that operators set.
+ * Limits this host to its share of the requests that may run in other regions under the operators' caps.
  *
- * Answers a large shift that would fill the links between regions: what is over the cap stays, and is served or
- * refused at home. The cap is divided evenly by the region's hosts, without a message between them, so that the sum
- * holds also while they don't hear each other; a host that doesn't know its fleet takes nothing.
+ * A large shift could fill the links between regions. Requests above the cap stay, and are served or refused at home. The cap is
+ * divided evenly among the region's hosts, without messages between them, so that the sum holds also while they don't receive
+ * each other's reports; a host that doesn't know the fleet uses nothing of the cap.
  */
 export class ShiftCapUse {
-  /** Requests that run in each region, by service. */
+  /** Number of running requests, by region and service. */
   private readonly running = new Map<string, Map<string, number>>()
 
-  /** @param hosts hosts of this region that may send; undefined while they aren't known */
+  /** @param hosts number of hosts of this region that may send; undefined while it is unknown */
   allow (steering: DeclaredSteering, service: string, region: string, hosts: number | undefined): boolean {
     return steering.listCaps(service, region).every((cap) => {
       const part = hosts === undefined ? 0 : Math.floor(cap.maxInFlight / hosts)
--- a/packages/almondrelay-gateway/src/request/slidingCount.ts
+++ b/packages/almondrelay-gateway/src/request/slidingCount.ts
@@ -1,13 +1,13 @@
-/** Parts into which a window is cut; a count may lag by one part. */
+/** Number of buckets into which a window is divided; a count may lag by one bucket. */
 const PARTS = 20
 
-/** Number of events within a sliding window of monotonic time. */
+/** Counts events within a sliding window of monotonic time. */
 export class SlidingCount {
   private readonly counts = new Array<number>(PARTS + 1).fill(0)
   private readonly partMs: number
   private head = 0
   private headPart = 0
-  /** Of all parts together, so that a count costs nothing. */
+  /** Sum of all buckets, so that a count doesn't have to add them up. */
   private sum = 0
 
   /** @param windowMs length of the window in milliseconds */
@@ -21,7 +21,7 @@
     this.sum += amount
   }
 
-  /** Takes back an event that was counted at an earlier time; nothing where the window has left it behind. */
+  /** Takes back an event that was counted at an earlier time; does nothing where the window has moved past that time. */
   remove (at: number, now: number): void {
     this.advance(now)
     const parts = this.headPart - Math.floor(at / this.partMs)
@@ -31,16 +31,16 @@
     this.sum -= 1
   }
 
-  /** Events of the last window, and of up to one part before it. */
+  /** Counts the events of the last window, and of up to one bucket before it. */
   count (now: number): number {
     this.advance(now)
     return this.sum
   }
 
   /**
-   * Events of the last milliseconds, where the oldest part counts as far as they reach into it.
+   * Estimates the events of the last `spanMs` milliseconds; the oldest bucket counts by its overlap with them.
    *
-   * @param spanMs whole parts; at most the window
+   * @param spanMs a multiple of the bucket length, at most the window
    */
   estimate (now: number, spanMs: number): number {
     this.advance(now)
@@ -51,7 +51,7 @@
     return events
   }
 
-  /** @param back parts before the present one */
+  /** @param back number of buckets before the current one */
   private getCount (back: number): number {
     return this.counts[(this.head - back + PARTS + 1) % (PARTS + 1)] ?? 0
   }
--- a/packages/almondrelay-gateway/src/request/targetAnswerHead.ts
+++ b/packages/almondrelay-gateway/src/request/targetAnswerHead.ts
@@ -1,22 +1,22 @@
-/** Head of a target's answer, decoded. */
+/** Decoded head of a target's answer. */
 export interface TargetAnswerHead {
   status: number
-  /** Names and values in turn, as received. */
+  /** Header names and values, alternating, as received. */
   rawHeaders: readonly string[]
-  /** Request that the answer belongs to; undefined where it says none. */
+  /** Id of the request that the answer belongs to; undefined where the answer names none. */
   requestId: string | undefined
   /** The target states that it didn't run the request. */
   isNotRun: boolean
-  /** Another target answered: the one that was meant isn't at this address. */
+  /** A target other than the intended one answered: the intended one isn't at this address. */
   isMisdirected: boolean
-  /** It bears the target's signature and no encoding that the caller didn't ask for. */
+  /** The answer has the target's signature, and no encoding that the caller didn't ask for. */
   isGenuine: boolean
-  /** Milliseconds for which the target keeps the connection open unused; undefined where it doesn't say. */
+  /** Milliseconds for which the target keeps an idle connection open; undefined where it doesn't say. */
   keepAliveMs: number | undefined
   /** The target closes the connection after this answer. */
   isLast: boolean
-  /** Requests that run and wait at the target; undefined where it doesn't tell. */
+  /** Requests that run and that wait at the target; undefined where it doesn't report them. */
   load: { running: number, waiting: number } | undefined
-  /** Milliseconds for which the target says that it stays cold. */
+  /** Milliseconds for which the target says that it stays cold; undefined where it doesn't say. */
   coldForMs: number | undefined
 }
--- a/packages/almondrelay-gateway/src/request/targetChoice.ts
+++ b/packages/almondrelay-gateway/src/request/targetChoice.ts
@@ -1,19 +1,20 @@
 import type { TargetState } from './targetState.js'
 
-/** A target with what was expected of it. */
+/** A target, with the estimates by which it was chosen. */
 export interface TargetChoice {
   target: TargetState
-  /** Milliseconds until the answer is here. */
+  /** Milliseconds until the answer is expected. */
   expectedMs: number
-  /** The same with what its failures and its load on others are taken to cost; by this targets are compared. */
+  /** `expectedMs` plus the cost of the target's failures and of the load on later requests; targets are compared by this. */
   costMs: number
-  /** The part of it for the work itself and the part for the trip. */
+  /** Components of `expectedMs`: the work itself, the wait in the queue, and the round trip. */
   workMs: number
   waitMs: number
   tripMs: number
-  /** Place of the target in the order of the key; 0 is the one that holds the object. */
+  /** Position of the target in the key's order; 0 is the preferred target. */
   rank: number
+  /** Requests at the target from all hosts, as far as known. */
   outstanding: number
-  /** The target is taken to hold the object. */
+  /** Whether the target is assumed to have the object cached, as this host recently had it work on the object. */
   isWarm: boolean
 }
--- a/packages/almondrelay-gateway/src/request/targetEntry.ts
+++ b/packages/almondrelay-gateway/src/request/targetEntry.ts
@@ -1,20 +1,20 @@
-/** What a target says of itself in the directory of targets. */
+/** Entry of a target in the directory of targets, written by the target itself. */
 export interface TargetEntry {
-  /** Names the target; one that was started again may have the id that it had before. */
+  /** Identifies the target; a restarted target may have the same id as before. */
   id: string
-  /** Unix milliseconds of its start, which tell its lives under one id apart; undefined where it doesn't say. */
+  /** Start of the target in Unix milliseconds, which distinguishes its incarnations under one id; undefined where it doesn't say. */
   incarnation: number | undefined
-  /** Heartbeats of this life so far: of two entries of one life the one with more is the newer. */
+  /** Heartbeats of this incarnation so far: of two entries of one incarnation, the one with more heartbeats is newer. */
   sequence: number
   service: string
   ip: string
   port: number
   availabilityZone: string
   region: string
-  /** Requests that it runs at once. */
+  /** Requests that the target runs at once. */
   slots: number
-  /** It has announced that it will end and takes no new requests. */
+  /** The target has announced that it will exit, and takes no new requests. */
   draining: boolean
-  /** Milliseconds from the time of the entry for which it stays cold. */
+  /** Milliseconds from the time of the entry for which the target stays cold. */
   coldForMs: number
 }
--- a/packages/almondrelay-gateway/src/request/targetState.ts
+++ b/packages/almondrelay-gateway/src/request/targetState.ts
@@ -2,36 +2,37 @@
 import type { TargetEntry } from './targetEntry.js'
 import { WarmKeys } from './warmKeys.js'
 
-/** Weight of one answer in the estimate of a target's speed: about the last ten answers count. */
+/** Weight of one answer in the estimate of a target's slowness: about the last ten answers count. */
 const SPEED_GAIN = 0.1
-/** Weight of one answer in the share of failures: a target that refuses half is seen after four answers. */
+/** Weight of one answer in the share of failures: a target that refuses half of its requests is detected after four answers. */
 const FAILURE_GAIN = 0.15
-/** Milliseconds in which half of what is held against a target is forgiven, so that one without work is tried again. */
+/** Half-life, in milliseconds, of the recorded slowness and failures of a target, so that a target without requests is tried again. */
 const FORGIVING_HALF_LIFE_MS = 2_000
-/** Bounds of the ratio between a target's time and the expected one; beyond them more says nothing more. */
+/** Bounds of the ratio between a target's measured and expected time; a ratio beyond them carries no more information. */
 const SLOWEST_RATIO = 20
 const FASTEST_RATIO = 0.7
-/** Milliseconds for which a target isn't used after a failed connection, doubled with each further one. */
+/** Milliseconds for which a target isn't used after a failed connection, doubled with each further failure, and their maximum. */
 const FIRST_PAUSE_MS = 300
 const LONGEST_PAUSE_MS = 2_000
 /**
- * Milliseconds after a target was cold in which it is taken to hold none of its objects. A quarter of the requests for them
- * goes there in that time, so one that is asked for once a second is worked on there before all of its requests come.
+ * Milliseconds after a target was cold in which it is assumed to have none of its objects cached. A quarter of the requests for
+ * these objects goes there in that time, so an object that is requested once a second is worked on there before it gets all of
+ * the object's requests.
  */
 const WARM_UP_MS = 8_000
-/** Milliseconds after which a peer's count of running requests says nothing of the present. */
+/** Age, in milliseconds, above which a peer's count of running requests is ignored as outdated. */
 const PEER_COUNT_MAX_AGE_MS = 1_500
 
 /**
- * What this host knows of one life of a target: its entry, its load and how it has answered. A target that was started
- * again holds nothing of before and gets another one. Times are monotonic milliseconds.
+ * State of one incarnation of a target as known to this host: its entry, its load and how it has answered. A restarted target has
+ * nothing cached any more and gets a new state. Times are monotonic milliseconds.
  */
 export class TargetState {
-  /** Places the target in the order of each key; the same for all its lives, so that its keys come back to it. */
+  /** Determines the target's position in the order of each key; the same for all its incarnations, so that its keys come back to it. */
   readonly hash: number
-  /** Names this life of the target in reports between hosts. */
+  /** Identifies this incarnation of the target in reports between hosts. */
   readonly incarnationHash: number
-  /** Requests that this host has at the target. */
+  /** Requests of this host that are at the target now. */
   inFlight = 0
   readonly warmKeys = new WarmKeys()
   private readonly peerCounts = new Map<string, { count: number, heardAt: number }>()
@@ -55,7 +56,7 @@
     this.departedAt = undefined
   }
 
-  /** Notes that the target is gone or that another one answers at its address. */
+  /** Records that the target is gone or that another one answers at its address. */
   markDeparted (now: number): void {
     this.departedAt ??= now
   }
@@ -76,12 +77,12 @@
     if (forMs > 0) this.coldUntil = Math.max(this.coldUntil, now + forMs)
   }
 
-  /** Whether the target was cold until lately, so that other targets still hold the objects of its keys. */
+  /** Whether the target was cold until recently, so that other targets still have the objects of its keys cached. */
   isWarmingUp (now: number): boolean {
     return now < this.coldUntil + WARM_UP_MS
   }
 
-  /** Requests at the target from all hosts whose counts are fresh. */
+  /** Counts the requests at the target from this host and from all peers whose counts are recent. */
   countOutstanding (now: number): number {
     let sum = this.inFlight
     for (const { count, heardAt } of this.peerCounts.values()) {
@@ -95,7 +96,7 @@
     else this.peerCounts.set(host, { count, heardAt: now })
   }
 
-  /** `ratio`: the measured time over the expected one. */
+  /** @param ratio measured time divided by the expected time */
   observeAnswer (ratio: number, now: number): void {
     this.expireJudgement(now)
     this.suspensions = 0
@@ -105,13 +106,13 @@
     this.failureShare *= 1 - FAILURE_GAIN
   }
 
-  /** Notes a refusal or a failed answer. */
+  /** Records a refusal or a failed answer. */
   observeFailure (now: number): void {
     this.expireJudgement(now)
     this.failureShare += (1 - this.failureShare) * FAILURE_GAIN
   }
 
-  /** A connection could not be had or went silent: no work for a while, then one trial. */
+  /** Records that a connection failed or stopped responding: the target gets no requests for a while and is then tried again. */
   suspend (now: number): void {
     const pauseMs = Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * 2 ** this.suspensions)
     this.suspensions += 1
--- a/packages/almondrelay-gateway/src/request/useTotals.ts
+++ b/packages/almondrelay-gateway/src/request/useTotals.ts
@@ -1,6 +1,6 @@
-/** One organisation's requests at one host since that host's start. */
+/** Totals of one organisation's requests at one host since that host's start. */
 export interface UseTotals {
   asked: number
-  /** Less those that were given back, as they weren't run. */
+  /** Admitted requests, less those that were taken back because they weren't run. */
   letThrough: number
 }
--- a/packages/almondrelay-gateway/src/request/warmKeys.ts
+++ b/packages/almondrelay-gateway/src/request/warmKeys.ts
@@ -1,7 +1,7 @@
-/** Objects that a target is taken to remember; targets remember a bounded number, and do not say how many. */
+/** Number of objects that a target is assumed to remember; targets remember a bounded number and don't report it. */
 const MOST_KEYS = 48
 
-/** Objects on which this host had a target work lately, by the hash of their keys; the oldest is forgotten first. */
+/** Hashes of the keys of the objects that this host recently had a target work on; the oldest is evicted first. */
 export class WarmKeys {
   private readonly keys = new Set<number>()
 
--- a/packages/almondrelay-gateway/src/version/__fixtures__/makeRoute.ts
+++ b/packages/almondrelay-gateway/src/version/__fixtures__/makeRoute.ts
@@ -1,6 +1,6 @@
 import type { Route } from '../route.js'
 
-/** A route to one service, with some of its parts replaced. */
+/** Makes a route to one service, with some fields replaced. */
 export function makeRoute (route: Partial<Route> = {}): Route {
   return {
     name: 'one',
--- a/packages/almondrelay-gateway/src/version/__tests__/identifyCaller.test.ts
+++ b/packages/almondrelay-gateway/src/version/__tests__/identifyCaller.test.ts
@@ -10,23 +10,23 @@
 const clinic = makeOrganisation({ name: 'clinic', keys: ['k3'], priority: 0 })
 const table = new OrganisationTable([school, clinic])
 
-test('a key names its organisation, on open routes too', () => {
+test('a key identifies its organisation, on open routes too', () => {
   for (const isOpen of [true, false]) assert.equal(identifyCaller(table, 'k2', { isOpen }), { kind: 'organisation', organisation: school })
 })
 
-test('no key, or one that nobody holds, is enough on open routes only', () => {
+test('no key, or one of no organisation, is accepted on open routes only', () => {
   for (const key of [undefined, 'k9', '']) {
     assert.equal(identifyCaller(table, key, { isOpen: true }), { kind: 'anonymous' })
     assert.equal(identifyCaller(table, key, { isOpen: false }), { kind: 'unknown' })
   }
 })
 
-test('where no organisations are named nobody needs a key; where the list is empty nobody has one', () => {
+test('without a list of organisations callers need no key; with an empty list every caller is unknown', () => {
   assert.equal(identifyCaller(new OrganisationTable(undefined), 'k1', { isOpen: false }), { kind: 'unchecked' })
   assert.equal(identifyCaller(new OrganisationTable([]), 'k1', { isOpen: false }), { kind: 'unknown' })
 })
 
-test('the rank of the organisation goes before that of the route', () => {
+test('the rank of the organisation takes precedence over that of the route', () => {
   const ranks = [[clinic, 0], [clinic, 1], [school, 0], [school, 1]] as const
   const patience = ranks.map(([organisation, route]) => table.computePatience(organisation, route))
   assert.equal(patience, [0, 0.5, 0.5, 1])
--- a/packages/almondrelay-gateway/src/version/__tests__/routeTable.test.ts
+++ b/packages/almondrelay-gateway/src/version/__tests__/routeTable.test.ts
@@ -7,7 +7,7 @@
 
 const table = new RouteTable([makeRoute(), makeRoute({ pathPrefix: '/one/two/' }), makeRoute({ hostName: 'b.example', pathPrefix: '/' })])
 
-test('the longest prefix that begins the path wins', () => {
+test('the longest prefix that matches the path wins', () => {
   assert.is(table.findRoute('a.example', '/one/two/3')?.pathPrefix, '/one/two/')
   assert.is(table.findRoute('a.example', '/one/twofold')?.pathPrefix, '/one/')
   assert.is(table.findRoute('b.example', '/anything')?.pathPrefix, '/')
--- a/packages/almondrelay-gateway/src/version/computeHash.ts
+++ b/packages/almondrelay-gateway/src/version/computeHash.ts
@@ -1,7 +1,7 @@
 const OFFSET_BASIS = 0x811c9dc5
 const PRIME = 0x01000193
 
-/** 32-bit FNV-1a hash of a text, with a final mix so that close texts spread over the whole range. */
+/** Computes the 32-bit FNV-1a hash of a text, with a final mix so that similar texts spread over the whole range. */
 export function computeHash (text: string): number {
   let hash = OFFSET_BASIS
   for (let index = 0; index < text.length; index += 1) hash = Math.imul(hash ^ text.charCodeAt(index), PRIME)
--- a/packages/almondrelay-gateway/src/version/declaredSteering.ts
+++ b/packages/almondrelay-gateway/src/version/declaredSteering.ts
@@ -1,13 +1,13 @@
 import type { Configuration } from 'almondrelay'
 
-/** How an operator divides the callers of a region over regions. */
+/** Weights by which operators divide the callers of a region among regions. */
 interface DeclaredWeights {
   weights: Readonly<Record<string, number>>
-  /** Whether work that those regions can't take may go to others. */
+  /** Whether requests that those regions can't take may go to others. */
   spill: boolean
 }
 
-/** A bound on the requests of one region's callers that run in another one at once. */
+/** Limit on the requests of one region's callers that run in another region at once. */
 interface DeclaredCap {
   name: string
   to: string
@@ -25,20 +25,23 @@
 
 const ANY_REGION = '*'
 
-/** What operators declared for one region's hosts, in the form in which requests ask for it. One for each revision. */
+/**
+ * What operators declared for the hosts of one region, indexed for the look-ups of each request. There is one instance per
+ * revision.
+ */
 export class DeclaredSteering {
-  /** Nothing is declared. */
+  /** Steering where nothing is declared. */
   static readonly none = new DeclaredSteering()
   readonly caps: readonly DeclaredCap[] = []
   private readonly drained = new Set<string>()
   private readonly weightsByService = new Map<string, DeclaredWeights>()
 
-  /** @param ownRegion region of this host, whose callers it steers */
+  /** @param ownRegion region of this host, whose callers are steered */
   constructor (configuration?: Configuration, ownRegion = '') {
     if (configuration === undefined) return
     for (const { spec } of configuration.list('Drain')) this.drained.add(makeDrainKey(spec.scope, spec.name, spec.service))
     const caps = configuration.list('ShiftCap').map(({ name, spec }) => ({ name, ...spec }))
-    // A link's limit binds all services together, as a cap without a service does.
+    // A link's limit applies to all services together, like a cap without a service.
     const links = configuration.list('Link').map(({ name, spec }) => ({ name, ...spec, service: undefined }))
     this.caps = [...caps, ...links].filter((cap) => cap.from === ownRegion)
     const policies = configuration.list('SteeringPolicy').map(({ spec }) => spec)
@@ -47,7 +50,10 @@
     }
   }
 
-  /** Whether a target gets no new work: it or its availability zone is drained. A region is drained by its parts, in steps. */
+  /**
+   * Whether a target gets no new requests because it or its availability zone is drained. The drain of a region takes effect in
+   * steps, through the shares of the regions.
+   */
   isDrained ({ id, service, availabilityZone }: PlacedTarget): boolean {
     if (this.drained.size === 0) return false
     return this.drained.has(makeDrainKey('availabilityZone', availabilityZone)) || this.drained.has(makeDrainKey('target', id, service))
@@ -61,7 +67,7 @@
     return this.weightsByService.get(service)
   }
 
-  /** Caps that bind requests for a service that run in another region. */
+  /** Lists the caps that apply to requests for a service that run in another region. */
   listCaps (service: string, to: string): DeclaredCap[] {
     return this.caps.filter((cap) => cap.to === to && (cap.service === undefined || cap.service === service))
   }
--- a/packages/almondrelay-gateway/src/version/findOrganisation.ts
+++ b/packages/almondrelay-gateway/src/version/findOrganisation.ts
@@ -1,7 +1,7 @@
 import type { CallerIdentity } from './callerIdentity.js'
 import type { Organisation } from './organisation.js'
 
-/** The organisation that a request came from; undefined where its caller needed no key. */
+/** Returns the organisation that a request came from; undefined where its caller wasn't identified as one. */
 export function findOrganisation (identity: CallerIdentity): Organisation | undefined {
   return identity.kind === 'organisation' ? identity.organisation : undefined
 }
--- a/packages/almondrelay-gateway/src/version/identifyCaller.ts
+++ b/packages/almondrelay-gateway/src/version/identifyCaller.ts
@@ -2,7 +2,11 @@
 import type { OrganisationTable } from './organisationTable.js'
 import type { Route } from './route.js'
 
-/** @param key what the caller sent to identify itself; undefined where it sent nothing usable */
+/**
+ * Identifies the sender of a request to a route.
+ *
+ * @param key what the caller sent to identify itself; undefined where it sent nothing usable
+ */
 export function identifyCaller (organisations: OrganisationTable, key: string | undefined, route: Pick<Route, 'isOpen'>): CallerIdentity {
   if (!organisations.areKeysNeeded) return { kind: 'unchecked' }
   const organisation = key === undefined ? undefined : organisations.findByKey(key)
--- a/packages/almondrelay-gateway/src/version/organisationTable.ts
+++ b/packages/almondrelay-gateway/src/version/organisationTable.ts
@@ -5,7 +5,7 @@
   private readonly byKey = new Map<string, Organisation>()
   private readonly lastPriority: number
 
-  /** @param organisations undefined where the operators name none, so that callers need no key */
+  /** @param organisations undefined where the operators declare none, so that callers need no key */
   constructor (private readonly organisations: readonly Organisation[] | undefined) {
     this.lastPriority = (organisations ?? []).reduce((last, { priority }) => Math.max(last, priority), 0)
     for (const organisation of organisations ?? []) {
@@ -13,7 +13,7 @@
     }
   }
 
-  /** Whether callers have to identify themselves. */
+  /** Whether callers must identify themselves. */
   get areKeysNeeded (): boolean {
     return this.organisations !== undefined
   }
@@ -27,10 +27,11 @@
   }
 
   /**
-   * Place of a request's rank among all: 0 for the most urgent, 1 for the least. The rank of the organisation goes first, so
-   * that its least urgent route still goes before the most urgent one of an organisation with a lower rank.
+   * Computes the priority of a request relative to all requests: 0 for the most urgent, 1 for the least urgent. The rank of the
+   * organisation takes precedence, so that its least urgent route is still served before the most urgent one of an organisation
+   * with a lower rank.
    *
-   * @param routePatience the same of its route among all routes
+   * @param relativeRoutePriority the priority of the request's route relative to all routes
    */
   computePatience (organisation: Organisation | undefined, routePatience: number): number {
     if (organisation === undefined) return routePatience
--- a/packages/almondrelay-gateway/src/version/pickDestination.ts
+++ b/packages/almondrelay-gateway/src/version/pickDestination.ts
@@ -1,7 +1,7 @@
 import type { Destination } from './destination.js'
 
 /**
- * The destination of one request among those of its route, by weight.
+ * Picks the destination of one request among those of its route, by weight.
  *
  * @param random in [0, 1)
  */
--- a/packages/almondrelay-gateway/src/version/requestLimits.ts
+++ b/packages/almondrelay-gateway/src/version/requestLimits.ts
@@ -1,9 +1,9 @@
-/** What a caller may send to a host, and how slowly. */
+/** Limits on the size and duration of what a caller sends to a host. */
 export interface RequestLimits {
   maxHeaderBytes: number
   maxBodyBytes: number
-  /** Milliseconds that the head of a request may take to arrive. */
+  /** Maximum time, in milliseconds, that the head of a request may take to arrive. */
   headerTimeoutMs: number
-  /** Milliseconds for which a caller's connection may stay unused. */
+  /** Maximum time, in milliseconds, for which a caller's connection may stay idle. */
   idleTimeoutMs: number
 }
--- a/packages/almondrelay-gateway/src/version/routeTable.ts
+++ b/packages/almondrelay-gateway/src/version/routeTable.ts
@@ -14,14 +14,14 @@
     }
   }
 
-  /** Place of a route's rank among all: 0 for the most urgent, 1 for the least. */
+  /** Computes the priority of a route relative to all routes: 0 for the most urgent, 1 for the least urgent. */
   computePatience ({ priority }: Route): number {
     return this.lastPriority === 0 ? 0 : priority / this.lastPriority
   }
 
   /**
-   * The route with the longest prefix that begins the path. The cost follows the number of slashes in
-   * the path and not the number of routes, so that a version with thousands of routes decides as fast.
+   * Finds the route with the longest prefix that matches the path. The cost depends on the number of slashes in the path and not
+   * on the number of routes, so that a lookup is as fast in a version with thousands of routes.
    */
   findRoute (hostName: string, path: string): Route | undefined {
     const prefixes = this.prefixesByHost.get(hostName)
--- a/packages/almondrelay-gateway/src/version/steeringConfiguration.ts
+++ b/packages/almondrelay-gateway/src/version/steeringConfiguration.ts
@@ -3,9 +3,9 @@
 import type { Route } from './route.js'
 import type { ServiceDefinition } from './serviceDefinition.js'
 
-/** One version of what the operators declared, whole. */
+/** One complete version of what the operators declared. */
 export interface SteeringConfiguration {
-  /** Rises with each change; a host never goes back to a lower one. */
+  /** Rises with each change; a host never returns to a lower version. */
   version: number
   routes: readonly Route[]
   services: ReadonlyMap<string, ServiceDefinition>
