--- a/packages/almondrelay-gateway/src/request/__tests__/computeRetryPause.test.ts
+++ b/packages/almondrelay-gateway/src/request/__tests__/computeRetryPause.test.ts
@@ -2,7 +2,7 @@
 import * as assert from 'uvu/assert'
 import { computeRetryPause } from '../computeRetryPause.js'
 
-const test = suite('computeRetryPause')
+const test = suite('computeRetryDelay')
 const bounds = { firstMs: 200, longestMs: 500 }
 
 test('the delay doubles with each failure up to the maximum', () => {
--- a/packages/almondrelay-gateway/src/request/__tests__/planDeclaredParts.test.ts
+++ b/packages/almondrelay-gateway/src/request/__tests__/planDeclaredParts.test.ts
@@ -4,7 +4,7 @@
 import { DeclaredSteering } from '../../version/declaredSteering.js'
 import { planDeclaredParts } from '../planDeclaredParts.js'
 
-const test = suite('planDeclaredParts')
+const test = suite('planDeclaredShares')
 const regions = ['akl', 'wlg', 'chc']
 const plan = (resources: Resource[], byLoad = new Map([['akl', 0.7], ['wlg', 0.3]]), ownBusySlots = 10): Record<string, number> => {
   const steering = new DeclaredSteering(Configuration.restore(1, resources), 'akl')
--- a/packages/almondrelay-gateway/src/request/__tests__/regionParts.test.ts
+++ b/packages/almondrelay-gateway/src/request/__tests__/regionParts.test.ts
@@ -3,7 +3,7 @@
 import { computeRegionParts } from '../computeRegionParts.js'
 import { RegionParts } from '../regionParts.js'
 
-const test = suite('RegionParts')
+const test = suite('RegionShares')
 const SHIFT_PART = 0.15
 /** Ratio of a round trip of 40 ms to work of 90 ms. */
 const FAR_TRIP_PART = 0.44
--- a/packages/almondrelay-gateway/src/request/__tests__/shiftCapUse.test.ts
+++ b/packages/almondrelay-gateway/src/request/__tests__/shiftCapUse.test.ts
@@ -5,7 +5,7 @@
 import { DeclaredSteering } from '../../version/declaredSteering.js'
 import { ShiftCapUse } from '../shiftCapUse.js'
 
-const test = suite('ShiftCapUse')
+const test = suite('ShiftCapUsage')
 const SEED = 20_261_203
 const makeCap = (maxInFlight: number, service?: string): DeclaredSteering => new DeclaredSteering(Configuration.restore(1, [
   { kind: 'ShiftCap', name: 'cap', revision: 1, spec: { from: 'akl', to: 'wlg', maxInFlight, ...(service === undefined ? {} : { service }) } }
