--- a/packages/almondrelay-gateway/src/request/admissionInput.ts
+++ b/packages/almondrelay-gateway/src/request/admissionInput.ts
@@ -1,6 +1,6 @@
 import type { TargetChoice } from './targetChoice.js'
 
-/** Input of the decision whether a request is sent to the target that was chosen for it or refused. */
+/** Input of the decision whether a request is sent to its chosen target or refused. */
 export interface AdmissionInput {
   choice: TargetChoice
   /** Latency target: milliseconds from the request's arrival within which the answer has its full value. */
--- a/packages/almondrelay-gateway/src/request/allowanceInput.ts
+++ b/packages/almondrelay-gateway/src/request/allowanceInput.ts
@@ -1,4 +1,4 @@
-/** Input of the computation how many of an organisation's requests are admitted under its allowance. */
+/** Input of the decision which share of an organisation's requests is admitted under its allowance. */
 export interface AllowanceInput {
   /** Requests that all hosts together may admit within the window. */
   limit: number
--- a/packages/almondrelay-gateway/src/request/chooseTarget.ts
+++ b/packages/almondrelay-gateway/src/request/chooseTarget.ts
@@ -4,7 +4,7 @@
 import type { TargetChoice } from './targetChoice.js'
 import type { TargetState } from './targetState.js'
 
-/** Factor by which a cold target's work takes longer in its first seconds. */
+/** Approximate factor by which work takes longer at a cold target, during its first seconds. */
 const COLD_TARGET_RATIO = 2
 /**
  * Cost of one failure, as a multiple of the latency target: the request is late, and its retry is one of the few that all hosts
@@ -13,8 +13,8 @@
 const FAILURE_COST = 2
 
 /**
- * Targets that are considered for a key because they may have its object cached: the preferred target, and the second one, which
- * gets the request when the preferred target is full.
+ * Maximum number of targets that are considered for a key, as they may have its object cached: the preferred target, and the
+ * second one, which gets the request when the preferred target is full.
  */
 const TARGETS_OF_KEY = 2
 
@@ -25,7 +25,7 @@
 const SECOND_PLACE_PART = 0.4
 /**
  * Cost of working on an uncached object at a target whose slots are all busy, as a multiple of the additional work; it grows with
- * the square of the target's utilisation. An idle target costs next to nothing, so that a hot key, or one whose preferred target
+ * the square of the share of busy slots. An idle target costs next to nothing, so that a hot key, or one whose preferred target
  * is slow, gets a second target; while all targets are overloaded, keys stay where they are cached.
  */
 const BUSY_PLACE_PART = 8
@@ -65,13 +65,12 @@
   pickTargets(targets, context.keyHash, TARGETS_OF_KEY, (target) => isAllowed(target, context)).map(({ target, rank }) => estimateChoice(target, rank, context))
 
 /**
- * Finds the key's preferred target where that target is warming up.
+ * Chooses the key's preferred target where that target is warming up; undefined where it isn't.
  *
  * A target that joins or comes back becomes the preferred target of some keys at once, and has none of their objects cached. If
  * all requests of a key went there, each one that arrives before the first is finished would work on the object from scratch: at
- * one request a second and three seconds of work that is four or five requests, most of which would time out. Meanwhile the
- * target that had the object cached before goes on serving it, and passes the key's requests on by queue length, as to any second
- * target.
+ * one request a second and three seconds of work that is four or five requests, most of which would time out. Instead, the target
+ * that had the object cached before goes on serving it, and gives way to the new target by queue length, as to any second target.
  */
 const findStarting = (targets: readonly TargetState[], holder: TargetChoice | undefined, context: ChoiceContext): TargetChoice | undefined => {
   const [own] = pickTargets(targets, context.keyHash, 1, (target) => isAllowed(target, context))
@@ -108,8 +107,8 @@
 
 /**
  * Estimates what a choice costs later requests. Work on an uncached object takes slots from the requests behind it, the more the
- * busier the target is. An object that is cached at a second target evicts another object there: targets remember few objects,
- * and with every key at two of them the memory of a small region would be full and keep nothing for long.
+ * busier the target is. Caching an object at a second target evicts another object there: targets remember few objects, and with
+ * every key at two targets the memory of a small region would be full and keep nothing for long.
  */
 const estimateBurden = (isWarm: boolean, rank: number, use: number, coldExtraMs: number): number => {
   if (!isWarm) return coldExtraMs * (SECOND_PLACE_PART + BUSY_PLACE_PART * use ** 2)
--- a/packages/almondrelay-gateway/src/request/computeAllowanceRetry.ts
+++ b/packages/almondrelay-gateway/src/request/computeAllowanceRetry.ts
@@ -1,6 +1,6 @@
 /**
- * Mean delay, in milliseconds, where one request is refused for each one that is admitted. The delay is proportional to this
- * ratio, as room opens gradually while the window slides.
+ * Mean delay, in milliseconds, where one request is refused for each one that is admitted. The delay is proportional to the
+ * requests refused for each one admitted, as room opens gradually while the window slides.
  */
 const MEAN_ROOM_MS = 1_000
 /**
--- a/packages/almondrelay-gateway/src/request/computeRegionParts.ts
+++ b/packages/almondrelay-gateway/src/request/computeRegionParts.ts
@@ -1,8 +1,8 @@
 import type { RegionLoad } from './regionLoad.js'
 
 /**
- * Share of a region's slots that warm work may keep busy before requests are planned to run in other regions, where those are far
- * away.
+ * Share of a region's slots that may be busy before requests are planned to run in other regions, where those are far away and
+ * the work is on cached objects.
  */
 const COMFORTABLE_USE = 0.55
 /**
@@ -11,18 +11,18 @@
  * twentieth.
  */
 const NEAR_USE = 0.3
-/** Ratio of the round-trip time to the work from which on a region counts as far away. */
+/** Round-trip time, as a ratio to the work on a cached object, from which on a region counts as far away. */
 const FAR_TRIP_PART = 0.25
-/** Where all regions are busy, each is filled up to this multiple of their mean utilisation. */
+/** Where all regions are busy, each is filled up to this multiple of their mean slot usage. */
 const USE_ABOVE_MEAN = 1.1
 
-/** Current shares are kept for as long as they exceed no region's maximum utilisation by more than this factor. */
+/** Current shares are kept for as long as they exceed no region's maximum slot usage by more than this factor. */
 const BEARABLE_EXCESS = 1.15
 
 interface PlanInput {
   own: string
   loads: readonly RegionLoad[]
-  /** Ratio of the round-trip time to the nearest other region to the work on a cached object. */
+  /** Round-trip time to the nearest other region, as a ratio to the work on a cached object. */
   tripPart: number
   /** The shares in force; undefined before the first plan. */
   current: ReadonlyMap<string, number> | undefined
@@ -56,7 +56,7 @@
 }
 
 /**
- * Whether no region exceeds its maximum utilisation by more than is tolerated while these shares of the home region's requests
+ * Whether no region's maximum slot usage is exceeded by more than is tolerated while these shares of the home region's requests
  * run there.
  */
 const isBearable = (home: RegionLoad, loads: readonly RegionLoad[], parts: ReadonlyMap<string, number>, use: number): boolean => loads.every((each) => {
--- a/packages/almondrelay-gateway/src/request/planDeclaredParts.ts
+++ b/packages/almondrelay-gateway/src/request/planDeclaredParts.ts
@@ -12,8 +12,8 @@
 }
 
 /**
- * Share of a cap that planned shares may fill: requests come in waves, and a request that meets a full cap can't run where its
- * key is.
+ * Share of a cap that planned shares may fill: requests come in waves, and a request that meets a full cap can't run in the
+ * region that is planned for its key.
  */
 const CAP_PART = 0.8
 
--- a/packages/almondrelay-gateway/src/request/shiftCapUse.ts
+++ b/packages/almondrelay-gateway/src/request/shiftCapUse.ts
@@ -5,7 +5,7 @@
  *
  * A large shift could fill the links between regions. Requests above the cap stay, and are served or refused at home. The cap is
  * divided evenly among the region's hosts, without messages between them, so that the sum holds also while they don't receive
- * each other's reports; a host that doesn't know the fleet uses nothing of the cap.
+ * each other's reports; a host that doesn't know the fleet sends nothing under a cap.
  */
 export class ShiftCapUse {
   /** Number of running requests, by region and service. */
