--- a/packages/almondrelay-gateway/src/request/computeRegionParts.ts
+++ b/packages/almondrelay-gateway/src/request/computeRegionParts.ts
@@ -7,8 +7,8 @@
 const COMFORTABLE_USE = 0.55
 /**
  * The same where the round trip is negligible beside the work. The load of a region whose targets have some keys each is uneven:
- * with half of all slots busy, a target with twice the mean number of keys is full, while the round trip would cost its callers a
- * twentieth.
+ * with half of all slots busy, a target with twice the mean number of keys is full, while the round trip would make its callers
+ * wait only a twentieth longer.
  */
 const NEAR_USE = 0.3
 /** Round-trip time, as a ratio to the work on a cached object, from which on a region counts as far away. */
--- a/packages/almondrelay-gateway/src/request/findLapse.ts
+++ b/packages/almondrelay-gateway/src/request/findLapse.ts
@@ -16,9 +16,9 @@
 /**
  * Whether missing entries may have lapsed while the store was unavailable, and are about to be written again.
  *
- * A host that alone was cut off from the store can't tell this from an outage of the store by the silence, but must not keep
- * targets that left meanwhile. The entries that exist show the difference: after a lapse they are new ones, or there are none
- * yet; otherwise they are the same as before.
+ * To a host that alone was cut off from the store, this looks the same as an outage of the store, but such a host must not keep
+ * targets that left meanwhile. The entries of the other targets tell the two apart: after a lapse they are new ones, or there are
+ * none yet; otherwise they are the same as before.
  */
 export function findLapse ({ known, present }: EntryView): boolean {
   const kept = [...known.keys()].filter((id) => present.has(id))
--- a/packages/almondrelay-gateway/src/request/hostLoad.ts
+++ b/packages/almondrelay-gateway/src/request/hostLoad.ts
@@ -26,7 +26,8 @@
  * A host may get more requests than its processor can handle, for example as the last one left of many or just after a restart.
  * Requests then wait unread for seconds, callers disconnect meanwhile, and the host spends its time on requests whose callers are
  * gone, so that almost nobody is served. A caller that is refused at once tries another host or comes back, and the admitted
- * requests are answered in time. The delay is that of a timer of the host or of the request that has waited longest.
+ * requests are answered in time. The delay is the lateness of a timer of the host, or the time for which the longest waiting
+ * request has waited for its turn.
  */
 export class HostLoad {
   private delayMs = 0
--- a/packages/almondrelay-gateway/src/request/serviceTimes.ts
+++ b/packages/almondrelay-gateway/src/request/serviceTimes.ts
@@ -18,9 +18,12 @@
  * cached object.
  */
 const HELD_PART = 0.9
-/** Ratio to the work on an uncached object from which on work that never finished shows that such work takes longer than estimated. */
+/**
+ * Ratio to the work on an uncached object from which on work that was ended by its time limit counts as such work, and as longer
+ * than estimated.
+ */
 const OVERRUN_PART = 0.8
-/** Factor by which work that its time limit ended is assumed to take longer than the limit. */
+/** Factor by which the duration of work that its time limit ended is raised, as the work would have taken longer. */
 const OVERRUN_RATIO = 1.15
 
 /**
