--- a/packages/almondrelay-gateway/src/request/chooseTarget.ts
+++ b/packages/almondrelay-gateway/src/request/chooseTarget.ts
@@ -31,7 +31,9 @@
 const BUSY_PLACE_PART = 8
 
 /**
- * Chooses the target with the lowest expected cost, mostly the one that answers soonest; undefined where no target is left.
+ * Chooses the target with the lowest expected cost, mostly the one that answers soonest; undefined where no target is left. A
+ * request leaves its home region only where `canSpill` allows that or no usable target is left there; a suspended target is
+ * chosen only where there is no other.
  *
  * Many callers ask for the same objects, and a target that has handled an object recently answers several times faster. So each
  * key has a preferred target (by rendezvous hashing) and a second one for when the first is full. Sending requests to any target
--- a/packages/almondrelay-gateway/src/request/hostLoad.ts
+++ b/packages/almondrelay-gateway/src/request/hostLoad.ts
@@ -45,7 +45,7 @@
     const delayMs = Math.max(readDelayMs, acceptDelayMs)
     this.readDelayMs = readDelayMs
     this.delayMs = delayMs
-    // Keeps the share of the delayed work that fits into the accepted delay.
+    // Only the share of the delayed work that fits into the accepted delay is kept.
     const excess = delayMs > ACCEPTED_DELAY_MS ? 1 - ACCEPTED_DELAY_MS / delayMs : 0
     const calmed = this.shedPart * CALMING
     this.shedPart = Math.min(MOST_SHED, Math.max(excess, calmed < LEAST_SHED ? 0 : calmed))
@@ -67,6 +67,8 @@
   }
 
   /**
+   * Whether one more request is admitted, decided at random by the shed share.
+   *
    * @param relativePriority 0 for the most urgent requests, 1 for the least urgent ones
    * @param random in [0, 1)
    */
--- a/packages/almondrelay-gateway/src/request/regionParts.ts
+++ b/packages/almondrelay-gateway/src/request/regionParts.ts
@@ -21,6 +21,7 @@
  * objects cached, and swing back. Times are monotonic milliseconds.
  */
 export class RegionParts {
+  /** Share of the requests that goes to each region. */
   private parts: Map<string, number>
   private movedAt: number | undefined
   private isMoving = false
@@ -57,7 +58,7 @@
     for (const { region, gap } of gaps) this.parts.set(region, (this.parts.get(region) ?? 0) + gap * step)
   }
 
-  /** Finds the home region of a key by weighted rendezvous hashing: a step moves as few keys as possible. */
+  /** Finds the home region of a key by rendezvous hashing weighted with the shares, so that a step moves as few keys as possible. */
   findRegion (keyHash: number): string {
     let best = this.own
     let bestScore = -Infinity
--- a/packages/almondrelay-gateway/src/request/serviceTimes.ts
+++ b/packages/almondrelay-gateway/src/request/serviceTimes.ts
@@ -62,7 +62,11 @@
     return this.mean.estimate(this.wider?.getMeanMs(targetLatencyMs) ?? this.getColdMs(targetLatencyMs))
   }
 
-  /** @param isCached whether this host recently had the target work on the same object */
+  /**
+   * Records how long a target worked on an answered request.
+   *
+   * @param isCached whether this host recently had the target work on the same object
+   */
   learn (durationMs: number, isHeld: boolean, targetLatencyMs: number): void {
     const warmMs = this.getWarmMs(targetLatencyMs)
     const coldMs = this.getColdMs(targetLatencyMs)
