--- a/packages/almondrelay-experiment/src/steering/productWay.ts
+++ b/packages/almondrelay-experiment/src/steering/productWay.ts
@@ -1,4 +1,4 @@
-import { AwayAllowance, chooseTarget, decideAdmission, makeTarget, planRegionParts, RegionParts, ServiceTimes, type RegionDemand, type TargetChoice, type TargetState } from 'almondrelay-gateway/testing'
+import { SpillAllowance, chooseTarget, decideAdmission, makeTarget, planRegionParts, RegionShares, ServiceTimes, type RegionDemand, type TargetChoice, type TargetState } from 'almondrelay-gateway/testing'
 import { deployment } from '../model/deployment.js'
 import type { ModelRequest } from '../model/modelRequest.js'
 import type { KnownTarget } from './knownTarget.js'
@@ -19,27 +19,27 @@
 export class ProductWay extends SteeringWay {
   private readonly targets: TargetState[]
   private readonly times = new ServiceTimes()
-  private readonly parts: RegionParts
-  private readonly away = new AwayAllowance(deployment.shiftPart)
+  private readonly parts: RegionShares
+  private readonly away = new SpillAllowance(deployment.shiftPart)
   private readonly choices = new Map<ModelRequest, TargetChoice>()
   private arrivals: number[] = []
 
   constructor (targets: readonly KnownTarget[], private readonly region: string, private readonly options: WayOptions) {
     super()
     this.targets = targets.map((target) => makeTarget({ ...target, service: SERVICE, availabilityZone: target.region }))
-    this.parts = new RegionParts(region, deployment.shiftPart)
+    this.parts = new RegionShares(region, deployment.shiftPart)
     this.parts.adopt(new Map([[region, 1]]), 0)
   }
 
   override decide (request: ModelRequest, now: number): ReturnType<SteeringWay['decide']> {
     this.arrivals.push(now)
     this.away.observeRequest()
-    const homeRegion = this.parts.findRegion(request.key)
+    const homeRegion = this.parts.findHomeRegion(request.key)
     const choice = this.choose(request, homeRegion, now)
     if (choice === undefined) return { kind: 'refuse', retryAfterMs: MS_PER_SECOND }
     const { targetLatencyMs } = deployment
     const retryAfterMs = this.options.boundsQueue
-      ? decideAdmission({ choice, targetLatencyMs, elapsedMs: now - request.arrivedAt, leftMs: request.deadline - now })
+      ? decideAdmission({ choice, targetLatencyMs, elapsedMs: now - request.arrivedAt, remainingMs: request.deadline - now })
       : 0
     if (retryAfterMs > 0) return { kind: 'refuse', retryAfterMs }
     choice.target.inFlight += 1
@@ -57,9 +57,9 @@
       choice.target.observeFailure(now)
       return
     }
-    const workMs = Math.max(1, durationMs - choice.tripMs - choice.waitMs)
-    choice.target.observeAnswer(workMs / Math.max(1, choice.workMs / choice.target.getSpeedRatio(now)), now)
-    this.times.learn(workMs, choice.isWarm, deployment.targetLatencyMs)
+    const workMs = Math.max(1, durationMs - choice.roundTripMs - choice.waitMs)
+    choice.target.observeAnswer(workMs / Math.max(1, choice.workMs / choice.target.getSlowness(now)), now)
+    this.times.observeAnswer(workMs, choice.isCached, deployment.targetLatencyMs)
     choice.target.warmKeys.add(request.key)
   }
 
@@ -67,11 +67,11 @@
     const others = peers.filter((peer): peer is ProductWay => peer instanceof ProductWay && peer !== this)
     for (const [index, peer] of others.entries()) {
       if (peer.region !== this.region) continue
-      for (const target of this.targets) target.hearPeerCount(String(index), peer.countAt(target.entry.id), now)
+      for (const target of this.targets) target.receivePeerCount(String(index), peer.countAt(target.entry.id), now)
     }
     if (!this.options.movesRegions) return
     const demands = [this.describeDemand(now), ...others.map((peer) => peer.describeDemand(now))]
-    this.parts.moveTowards(planRegionParts({ ownRegion: this.region, regions: deployment.regions, demands, targets: this.targets, tripMs: deployment.tripFarMs, current: this.parts.getParts() }, now), now)
+    this.parts.moveTowards(planRegionParts({ ownRegion: this.region, regions: deployment.regions, demands, targets: this.targets, tripMs: deployment.tripFarMs, current: this.parts.getShares() }, now), now)
   }
 
   override countAt (targetId: string): number {
@@ -84,15 +84,15 @@
       now,
       keyHash: request.key,
       homeRegion,
-      findTripMs: (region) => region === this.region ? tripNearMs : tripFarMs,
+      findRoundTripMs: (region) => region === this.region ? tripNearMs : tripFarMs,
       warmMs: this.times.getWarmMs(targetLatencyMs),
       coldMs: this.times.getColdMs(targetLatencyMs),
       meanMs: this.times.getMeanMs(targetLatencyMs),
       targetLatencyMs,
       isEligible: () => true,
       allowCold: () => true,
-      warmsUp: true,
-      allowAway: this.options.movesRegions && this.away.allow()
+      isWarmUpRequest: true,
+      canSpill: this.options.movesRegions && this.away.allow()
     })
   }
 
--- a/packages/almondrelay-gateway/src/connection/__fixtures__/plainCodec.ts
+++ b/packages/almondrelay-gateway/src/connection/__fixtures__/plainCodec.ts
@@ -19,7 +19,7 @@
       isMisdirected: status === 421,
       isGenuine: has('signed'),
       keepAliveMs: has('keep') ? Number(find('keep')) : undefined,
-      isLast: !shouldKeepAlive,
+      closesConnection: !shouldKeepAlive,
       load: undefined,
       coldForMs: undefined
     }
--- a/packages/almondrelay-gateway/src/connection/targetConnection.ts
+++ b/packages/almondrelay-gateway/src/connection/targetConnection.ts
@@ -130,7 +130,7 @@
     const idleMs = answer.head.keepAliveMs === undefined ? UNSTATED_IDLE_MS : answer.head.keepAliveMs - IDLE_MARGIN_MS
     this.unusableAt = this.parts.getNow() + idleMs
     this.finish({ kind: 'answered', ...answer })
-    if (answer.head.isLast) this.close('last answer')
+    if (answer.head.closesConnection) this.close('last answer')
     else if (this.closeReason !== undefined) this.close(this.closeReason)
   }
 
--- a/packages/almondrelay-gateway/src/process/fleet/__tests__/fleetFollower.test.ts
+++ b/packages/almondrelay-gateway/src/process/fleet/__tests__/fleetFollower.test.ts
@@ -156,7 +156,7 @@
   await followed.waitFor(() => fleet.findTarget('3') !== undefined, 'target 3')
   const before = fleet.findTarget('3')
   before?.warmKeys.add(7)
-  before?.hearPeerCount('a', 9, 0)
+  before?.receivePeerCount('a', 9, 0)
   before?.suspend(0)
   followed.writeTarget('3', { incarnation: 2_000, sequence: 1, coldForMs: 3_000 })
   await followed.waitFor(() => fleet.findTarget('3') !== before, 'its second incarnation')
--- a/packages/almondrelay-gateway/src/process/fleet/fleetFollower.ts
+++ b/packages/almondrelay-gateway/src/process/fleet/fleetFollower.ts
@@ -1,5 +1,5 @@
 import { sleepFor } from 'almondrelay'
-import { computeRetryPause } from '../../request/computeRetryPause.js'
+import { computeRetryDelay } from '../../request/computeRetryDelay.js'
 import type { EventLog } from '../observe/eventLog.js'
 import type { SuspectRecord } from '../quarantine/suspectRecord.js'
 import { CATCH_UP_MS } from '../store/catchUpMs.js'
@@ -189,10 +189,10 @@
   private async waitAfterFailure (failures: number, signal: AbortSignal): Promise<void> {
     const { fleet, getNow, random, isReliedOn, isWatcher, hasReliableWatchers } = this.parts
     if (!fleet.isComplete || !isReliedOn() || isWatcher()) {
-      await sleepFor(computeRetryPause(PAUSE, failures, random()), signal)
+      await sleepFor(computeRetryDelay(PAUSE, failures, random()), signal)
       return
     }
-    const end = getNow() + computeRetryPause(MANY_PAUSE, failures, random())
+    const end = getNow() + computeRetryDelay(MANY_PAUSE, failures, random())
     await sleepFor(PAUSE.longestMs, signal)
     while (!signal.aborted && !hasReliableWatchers() && getNow() < end) await sleepFor(CHECK_MS, signal)
   }
--- a/packages/almondrelay-gateway/src/process/fleet/fleetUpdater.ts
+++ b/packages/almondrelay-gateway/src/process/fleet/fleetUpdater.ts
@@ -1,5 +1,5 @@
 import { match } from 'ts-pattern'
-import { findLapse } from '../../request/findLapse.js'
+import { isLapseLikely } from '../../request/isLapseLikely.js'
 import type { EventLog } from '../observe/eventLog.js'
 import type { TargetEntry } from '../../request/targetEntry.js'
 import type { SuspectRecord } from '../quarantine/suspectRecord.js'
@@ -64,7 +64,7 @@
       this.applyDecoded(decoded, false)
       present.add(describeSubject(decoded.change))
     }
-    const isLapse = findLapse({ known, present: new Map([...this.createdRevisions].filter(([id]) => present.has(`target ${id}`))) })
+    const isLapse = isLapseLikely({ known, present: new Map([...this.createdRevisions].filter(([id]) => present.has(`target ${id}`))) })
     this.removeAbsent(prefix, present, isLapse)
     return { keys: present.size, isLapse }
   }
@@ -72,7 +72,7 @@
   /** Applies changes in order. Returns the notable ones. */
   applyEvents (events: readonly StoreEvent[]): StoreEvent[] {
     const changes = events.flatMap((event) => this.decodeEvent(event))
-    const isLapse = findLapse({ known: this.createdRevisions, present: this.listPresentAfter(changes) })
+    const isLapse = isLapseLikely({ known: this.createdRevisions, present: this.listPresentAfter(changes) })
     return changes.filter((change) => this.applyDecoded(change, isLapse)).map(({ event }) => event)
   }
 
--- a/packages/almondrelay-gateway/src/process/fleet/hostAnnouncer.ts
+++ b/packages/almondrelay-gateway/src/process/fleet/hostAnnouncer.ts
@@ -1,5 +1,5 @@
 import { sleepFor } from 'almondrelay'
-import { computeRetryPause } from '../../request/computeRetryPause.js'
+import { computeRetryDelay } from '../../request/computeRetryDelay.js'
 import type { EventLog } from '../observe/eventLog.js'
 import type { RevisionStore } from '../store/revisionStore.js'
 import type { FleetCodec } from './fleetCodec.js'
@@ -70,7 +70,7 @@
     } catch (error) {
       if (!signal.aborted) log.logError('entry of this host not renewed or written', error as Error)
       this.failures += 1
-      return computeRetryPause(RETRY, this.failures, random())
+      return computeRetryDelay(RETRY, this.failures, random())
     }
   }
 
--- a/packages/almondrelay-gateway/src/process/forward/__tests__/attempt.test.ts
+++ b/packages/almondrelay-gateway/src/process/forward/__tests__/attempt.test.ts
@@ -8,7 +8,7 @@
 import { Attempt } from '../attempt.js'
 
 const test = suite('Attempt')
-const choice: TargetChoice = { target: makeTarget(), expectedMs: 1, costMs: 1, workMs: 1, waitMs: 0, tripMs: 0, rank: 0, outstanding: 0, isWarm: true }
+const choice: TargetChoice = { target: makeTarget(), expectedMs: 1, costMs: 1, workMs: 1, waitMs: 0, roundTripMs: 0, rank: 0, outstanding: 0, isCached: true }
 
 // Guards against an exception while a request is sent, caused by the request or the target's entry: nothing handled the
 // rejection, and the process exited.
--- a/packages/almondrelay-gateway/src/process/forward/attempt.ts
+++ b/packages/almondrelay-gateway/src/process/forward/attempt.ts
@@ -54,7 +54,7 @@
   }
 
   private async exchange (pool: TargetPool): Promise<AttemptResult> {
-    const { target, tripMs } = this.choice
+    const { target, roundTripMs: tripMs } = this.choice
     const opened = await pool.acquire(target.entry, CONNECT_TIMEOUT_MS + 2 * tripMs)
     if (opened.kind === 'failed') {
       if (this.cancelled === undefined) target.suspend(this.parts.getNow())
--- a/packages/almondrelay-gateway/src/process/forward/forwardState.ts
+++ b/packages/almondrelay-gateway/src/process/forward/forwardState.ts
@@ -2,7 +2,7 @@
 import type { ConnectFailure } from '../../connection/connectFailure.js'
 import type { TargetCodec } from '../../connection/targetCodec.js'
 import { ColdAllowance } from '../../request/coldAllowance.js'
-import { ShiftCapUse } from '../../request/shiftCapUse.js'
+import { ShiftCapUsage } from '../../request/shiftCapUsage.js'
 import type { TargetState } from '../../request/targetState.js'
 import { DeclaredSteering } from '../../version/declaredSteering.js'
 import type { FleetState } from '../fleet/fleetState.js'
@@ -35,7 +35,7 @@
   readonly trips: TripTimes
   readonly pools: TargetPools
   readonly probes: TargetProbes
-  readonly shiftCaps = new ShiftCapUse()
+  readonly shiftCaps = new ShiftCapUsage()
   /** Operators' declarations, of the newest revision that this host knows. */
   steering = DeclaredSteering.none
   private readonly cold: ColdAllowance
--- a/packages/almondrelay-gateway/src/process/forward/planRegionParts.ts
+++ b/packages/almondrelay-gateway/src/process/forward/planRegionParts.ts
@@ -1,4 +1,4 @@
-import { computeRegionParts } from '../../request/computeRegionParts.js'
+import { computeRegionShares } from '../../request/computeRegionShares.js'
 import type { RegionLoad } from '../../request/regionLoad.js'
 import type { TargetState } from '../../request/targetState.js'
 import { computeMeanTimes } from '../peers/computeMeanTimes.js'
@@ -25,10 +25,10 @@
   }))
   const near = demands.filter(({ region }) => region === ownRegion).map(({ demand }) => demand)
   const { warmMs } = computeMeanTimes(near)
-  return computeRegionParts({ own: ownRegion, loads, tripPart: warmMs > 0 ? tripMs / warmMs : Infinity, current })
+  return computeRegionShares({ ownRegion: ownRegion, loads, roundTripRatio: warmMs > 0 ? tripMs / warmMs : Infinity, currentShares: current })
 }
 
 // Suspended targets get no requests, and a target that is four times slower than expected counts with a quarter of its slots.
 const sumSlots = (targets: readonly TargetState[], region: string, now: number): number => targets
   .filter((target) => target.entry.region === region && !target.isLeaving() && !target.isSuspended(now))
-  .reduce((sum, target) => sum + target.entry.slots / Math.max(1, target.getSpeedRatio(now)) * (1 - target.getFailureShare(now)), 0)
+  .reduce((sum, target) => sum + target.entry.slots / Math.max(1, target.getSlowness(now)) * (1 - target.getFailureShare(now)), 0)
--- a/packages/almondrelay-gateway/src/process/forward/regionPlanner.ts
+++ b/packages/almondrelay-gateway/src/process/forward/regionPlanner.ts
@@ -4,7 +4,7 @@
 import { estimateFirstDemands } from './estimateFirstDemands.js'
 import { computeMeanTimes } from '../peers/computeMeanTimes.js'
 import type { RegionDemand } from '../peers/regionDemand.js'
-import { planDeclaredParts } from '../../request/planDeclaredParts.js'
+import { planDeclaredShares } from '../../request/planDeclaredShares.js'
 import { planRegionParts } from './planRegionParts.js'
 import type { ServiceRuntime } from './serviceRuntime.js'
 import { sumBusySlots } from './sumBusySlots.js'
@@ -51,7 +51,7 @@
     for (const runtime of forward.listRuntimes()) {
       const others = demands.get(runtime.name) ?? []
       const near = others.filter(({ region, demand }) => region === ownRegion && demand.perSecond > 0).map(({ demand }) => demand)
-      if (near.length > 0) runtime.times.hearRegion(computeMeanTimes(near))
+      if (near.length > 0) runtime.times.receiveRegionTimes(computeMeanTimes(near))
       const own = { region: ownRegion, demand: runtime.describeDemand(now) }
       const plan = this.plan(runtime, [own, ...others], now)
       runtime.regionParts.moveTowards(plan, now)
@@ -63,10 +63,10 @@
     const { fleet, steering } = forward
     const targets = fleet.listTargets(runtime.name).filter(({ entry }) => !fleet.isEvacuated(entry.availabilityZone) && !steering.isDrained(entry) && !steering.isRegionDrained(entry.region))
     const tripMs = Math.min(...regions.filter((region) => region !== ownRegion).map((region) => forward.trips.find(region)))
-    const current = runtime.regionParts.isPlanned ? runtime.regionParts.getParts() : undefined
+    const current = runtime.regionParts.hasPlan ? runtime.regionParts.getShares() : undefined
     const byLoad = planRegionParts({ ownRegion, regions, demands, targets, tripMs, current }, now)
     const ownBusySlots = sumBusySlots(demands, ownRegion)
-    return planDeclaredParts({ service: runtime.name, ownRegion, regions, byLoad, steering, ownBusySlots })
+    return planDeclaredShares({ service: runtime.name, ownRegion, regions, sharesByLoad: byLoad, steering, ownBusySlots })
   }
 }
 
--- a/packages/almondrelay-gateway/src/process/forward/requestHandler.ts
+++ b/packages/almondrelay-gateway/src/process/forward/requestHandler.ts
@@ -114,7 +114,7 @@
     const allowedRegions = findCommonRegions(route.allowedRegions, organisation?.allowedRegions ?? [])
     if (allowedRegions === undefined) return this.refuser.refuseNowhere(head, route, organisation?.name)
     const deadline = arrivedAt + Math.min(route.timeoutMs, head.waitsMs ?? route.timeoutMs)
-    const patience = organisations.computePatience(organisation, routes.computePatience(route))
+    const patience = organisations.computeRelativePriority(organisation, routes.computeRelativePriority(route))
     if (deadline <= getNow() || !load.allow(patience, random())) return this.refuser.refuseOverloaded(head, route, organisation?.name)
     if (memory.isFilling) return this.refuser.refuseFull(head, route, organisation?.name)
     const { method = 'GET', url = '/', rawHeaders } = message
--- a/packages/almondrelay-gateway/src/process/forward/requestPlacement.ts
+++ b/packages/almondrelay-gateway/src/process/forward/requestPlacement.ts
@@ -16,7 +16,7 @@
 
   /** @param usesWarmingTarget whether the request goes to its key's preferred target although that target is warming up */
   constructor (private readonly state: ForwardState, private readonly runtime: ServiceRuntime, private readonly keyHash: number, allowedRegions: readonly string[], private readonly warmsUp: boolean) {
-    const planned = runtime.regionParts.findRegion(keyHash)
+    const planned = runtime.regionParts.findHomeRegion(keyHash)
     this.homeRegion = allowedRegions.length === 0 || allowedRegions.includes(planned) ? planned : allowedRegions[keyHash % allowedRegions.length] as string
   }
 
@@ -38,15 +38,15 @@
       now,
       keyHash: this.keyHash,
       homeRegion: this.homeRegion,
-      findTripMs: (region) => trips.find(region),
+      findRoundTripMs: (region) => trips.find(region),
       warmMs: times.getWarmMs(targetLatencyMs),
       coldMs: times.getColdMs(targetLatencyMs),
       meanMs: this.runtime.times.getMeanMs(targetLatencyMs),
       targetLatencyMs,
       isEligible: ({ entry }) => !triedIds.has(entry.id) && !fleet.isEvacuated(entry.availabilityZone) && !this.state.steering.isDrained(entry) && isRegionOpen(entry.region),
       allowCold: (target) => this.state.allowCold(target, now),
-      warmsUp: this.warmsUp,
-      allowAway: this.declared?.spill !== false && this.runtime.away.allow()
+      isWarmUpRequest: this.warmsUp,
+      canSpill: this.declared?.spill !== false && this.runtime.away.allow()
     })
   }
 
@@ -80,10 +80,10 @@
   /** Updates the times from an attempt that had no answer at the request's deadline. */
   observeOverrun ({ choice, request, sentAt }: Attempt, now: number): void {
     if (sentAt === undefined) return
-    const workMs = now - sentAt - choice.tripMs - choice.waitMs
+    const workMs = now - sentAt - choice.roundTripMs - choice.waitMs
     const { name, targetLatencyMs } = request.route
-    this.runtime.findTimes(name).learnOverrun(workMs, targetLatencyMs)
-    if (request.affinityKey !== undefined) this.runtime.times.learnOverrun(workMs, targetLatencyMs)
+    this.runtime.findTimes(name).observeOverrun(workMs, targetLatencyMs)
+    if (request.affinityKey !== undefined) this.runtime.times.observeOverrun(workMs, targetLatencyMs)
   }
 
   /** Whether the request's key still belongs to its organisation: a version that revokes the key may arrive while the request waits. */
@@ -121,12 +121,12 @@
 
   private learnDuration ({ choice, request }: Attempt, durationMs: number, now: number): void {
     const { name, targetLatencyMs } = request.route
-    const workMs = Math.max(1, durationMs - choice.tripMs - choice.waitMs)
-    choice.target.observeAnswer(workMs / Math.max(1, choice.workMs / choice.target.getSpeedRatio(now)), now)
-    this.runtime.findTimes(name).learn(workMs, choice.isWarm, targetLatencyMs)
+    const workMs = Math.max(1, durationMs - choice.roundTripMs - choice.waitMs)
+    choice.target.observeAnswer(workMs / Math.max(1, choice.workMs / choice.target.getSlowness(now)), now)
+    this.runtime.findTimes(name).observeAnswer(workMs, choice.isCached, targetLatencyMs)
     // Requests that name no object, such as checks of whether a route exists, say nothing about the work on objects.
     if (request.affinityKey === undefined) return
-    this.runtime.times.learn(workMs, choice.isWarm, targetLatencyMs)
+    this.runtime.times.observeAnswer(workMs, choice.isCached, targetLatencyMs)
     choice.target.warmKeys.add(this.keyHash)
   }
 }
--- a/packages/almondrelay-gateway/src/process/forward/requestRefuser.ts
+++ b/packages/almondrelay-gateway/src/process/forward/requestRefuser.ts
@@ -4,7 +4,7 @@
 import type { CallerAnswer } from '../../connection/callerAnswer.js'
 import type { CallerCodec } from '../../connection/callerCodec.js'
 import type { CallerHead } from '../../connection/callerHead.js'
-import { computeAllowanceRetry } from '../../request/computeAllowanceRetry.js'
+import { computeAllowanceRetryAfter } from '../../request/computeAllowanceRetryAfter.js'
 import type { HostLoad } from '../../request/hostLoad.js'
 import type { Organisation } from '../../version/organisation.js'
 import type { Route } from '../../version/route.js'
@@ -67,7 +67,7 @@
   }
 
   refuseOverAllowance (head: CallerHead, route: Route, { name, ratePerSecond }: Organisation, allowedPart: number): CallerAnswer {
-    const retryAfterMs = computeAllowanceRetry(allowedPart, this.parts.random())
+    const retryAfterMs = computeAllowanceRetryAfter(allowedPart, this.parts.random())
     return this.refuse(head, route, { retryAfterMs, cause: RefusalReason.overAllowance, reason: `the organisation has had its allowance of ${ratePerSecond} requests a second`, organisation: name, allowedPart })
   }
 
--- a/packages/almondrelay-gateway/src/process/forward/requestRunner.ts
+++ b/packages/almondrelay-gateway/src/process/forward/requestRunner.ts
@@ -196,7 +196,7 @@
 
   private decideAdmission (choice: TargetChoice, now: number): number {
     const { arrivedAt, deadline, route } = this.request
-    return decideAdmission({ choice, targetLatencyMs: route.targetLatencyMs, elapsedMs: now - arrivedAt, leftMs: deadline - now })
+    return decideAdmission({ choice, targetLatencyMs: route.targetLatencyMs, elapsedMs: now - arrivedAt, remainingMs: deadline - now })
   }
 
   private send (choice: TargetChoice, now: number): void {
--- a/packages/almondrelay-gateway/src/process/forward/serviceRuntime.ts
+++ b/packages/almondrelay-gateway/src/process/forward/serviceRuntime.ts
@@ -1,9 +1,9 @@
-import { AwayAllowance } from '../../request/awayAllowance.js'
+import { SpillAllowance } from '../../request/spillAllowance.js'
 import { putBounded } from '../../request/putBounded.js'
-import { RegionParts } from '../../request/regionParts.js'
+import { RegionShares } from '../../request/regionShares.js'
 import { RetryAllowance } from '../../request/retryAllowance.js'
 import { ServiceTimes } from '../../request/serviceTimes.js'
-import { SlidingCount } from '../../request/slidingCount.js'
+import { SlidingWindowCounter } from '../../request/slidingWindowCounter.js'
 import type { ServiceDemand } from '../peers/serviceDemand.js'
 import type { GatewaySettings } from '../settings/gatewaySettings.js'
 
@@ -19,17 +19,17 @@
   /** Times over all routes to the service. */
   readonly times = new ServiceTimes()
   readonly retries: RetryAllowance
-  readonly regionParts: RegionParts
-  readonly away: AwayAllowance
-  private readonly arrivals = new SlidingCount(DEMAND_WINDOW_MS)
+  readonly regionParts: RegionShares
+  readonly away: SpillAllowance
+  private readonly arrivals = new SlidingWindowCounter(DEMAND_WINDOW_MS)
   private readonly routeTimes = new Map<string, ServiceTimes>()
   private latencyMs = FIRST_LATENCY_MS
 
   constructor (readonly name: string, settings: GatewaySettings) {
     const { bounds, host } = settings
     this.retries = new RetryAllowance({ ratio: bounds.retryRatio, extra: bounds.retryExtra, windowMs: bounds.retryWindow })
-    this.regionParts = new RegionParts(host.region, bounds.shiftPart)
-    this.away = new AwayAllowance(bounds.shiftPart)
+    this.regionParts = new RegionShares(host.region, bounds.shiftPart)
+    this.away = new SpillAllowance(bounds.shiftPart)
   }
 
   /** Returns the times of the requests of one route: the routes to one service may differ widely. */
@@ -55,7 +55,7 @@
       perSecond: this.arrivals.count(now) / DEMAND_WINDOW_MS * 1_000,
       warmMs: this.times.getWarmMs(this.latencyMs),
       coldMs: this.times.getColdMs(this.latencyMs),
-      parts: this.regionParts.isPlanned ? this.regionParts.getParts() : new Map()
+      parts: this.regionParts.hasPlan ? this.regionParts.getShares() : new Map()
     }
   }
 }
--- a/packages/almondrelay-gateway/src/process/organisations/addZones.ts
+++ b/packages/almondrelay-gateway/src/process/organisations/addZones.ts
@@ -1,4 +1,4 @@
-import type { KnownUse } from '../../request/knownUse.js'
+import type { AllowanceUsage } from '../../request/allowanceUsage.js'
 import type { FleetUse } from './fleetUse.js'
 import type { HeardUse } from './heardUse.js'
 import { SILENCE_MS } from './silenceMs.js'
@@ -17,7 +17,7 @@
  * @param findRate returns the requests per second that an organisation's allowance permits
  */
 export function addZones (zones: readonly HeardUse[], findRate: (organisation: number) => number): FleetUse {
-  const sums = new Map<number, KnownUse>()
+  const sums = new Map<number, AllowanceUsage>()
   const askedSince = new Map<number, number>()
   const leftSince = new Map<number, number>()
   let hosts = 0
@@ -40,11 +40,11 @@
 /** Returns the share of a zone's hosts that counts as known, which falls from 1 to 0 the longer the zone's next snapshot is overdue. */
 const computeTrust = (ageMs: number): number => Math.min(1, Math.max(0, (SILENCE_MS - ageMs) / (SILENCE_MS - TRUSTED_MS)))
 
-const addUses = (first: KnownUse | undefined, second: KnownUse): KnownUse => first === undefined
+const addUses = (first: AllowanceUsage | undefined, second: AllowanceUsage): AllowanceUsage => first === undefined
   ? second
   : { letThrough: first.letThrough + second.letThrough, leavingPerSecond: first.leavingPerSecond + second.leavingPerSecond, askedPerSecond: first.askedPerSecond + second.askedPerSecond }
 
-const addSince = (sum: KnownUse, askedSince: number, leftSince: number, ratePerSecond: number): KnownUse => {
+const addSince = (sum: AllowanceUsage, askedSince: number, leftSince: number, ratePerSecond: number): AllowanceUsage => {
   const borne = sum.askedPerSecond > ratePerSecond ? ratePerSecond / sum.askedPerSecond : 1
   return { ...sum, letThrough: Math.max(0, sum.letThrough + askedSince * borne - leftSince) }
 }
--- a/packages/almondrelay-gateway/src/process/organisations/allowanceClaim.ts
+++ b/packages/almondrelay-gateway/src/process/organisations/allowanceClaim.ts
@@ -1,4 +1,4 @@
-import type { OrganisationUse } from '../../request/organisationUse.js'
+import type { OrganisationUsage } from '../../request/organisationUsage.js'
 
 /** The claim of one request on its organisation's allowance. */
 export interface AllowanceClaim {
@@ -9,5 +9,5 @@
   /**
    * Counter to which the request was added; undefined if the organisation had no limit when it arrived, so there is nothing to release.
    */
-  use: OrganisationUse | undefined
+  use: OrganisationUsage | undefined
 }
--- a/packages/almondrelay-gateway/src/process/organisations/allowances.ts
+++ b/packages/almondrelay-gateway/src/process/organisations/allowances.ts
@@ -1,8 +1,8 @@
-import { computeAllowedPart } from '../../request/computeAllowedPart.js'
+import { computeAdmittedShare } from '../../request/computeAdmittedShare.js'
 import type { AllowanceInput } from '../../request/allowanceInput.js'
-import type { KnownUse } from '../../request/knownUse.js'
-import { OrganisationUse } from '../../request/organisationUse.js'
-import type { UseTotals } from '../../request/useTotals.js'
+import type { AllowanceUsage } from '../../request/allowanceUsage.js'
+import { OrganisationUsage } from '../../request/organisationUsage.js'
+import type { UsageTotals } from '../../request/usageTotals.js'
 import { computeHash } from '../../version/computeHash.js'
 import type { Organisation } from '../../version/organisation.js'
 import { putBounded } from '../../request/putBounded.js'
@@ -28,8 +28,8 @@
 /** Maximum zones kept. Anybody can send reports, so the map has to be bounded. */
 const MOST_ZONES = 1_000
 
-const NOTHING_USED: KnownUse = { letThrough: 0, leavingPerSecond: 0, askedPerSecond: 0 }
-const NO_USES: ReadonlyMap<number, KnownUse> = new Map()
+const NOTHING_USED: AllowanceUsage = { letThrough: 0, leavingPerSecond: 0, askedPerSecond: 0 }
+const NO_USES: ReadonlyMap<number, AllowanceUsage> = new Map()
 
 interface AllowanceParts {
   availabilityZone: string
@@ -54,7 +54,7 @@
 export class Allowances {
   private readonly limits = new Map<number, number>()
   private readonly rates = new Map<number, number>()
-  private readonly uses = new Map<number, OrganisationUse>()
+  private readonly uses = new Map<number, OrganisationUsage>()
   private readonly peers = new PeerTotals()
   private readonly zones = new Map<string, HeardUses>()
   private readonly fleet = new HeardUses()
@@ -87,25 +87,25 @@
     const limit = this.limits.get(organisation)
     if (limit === undefined) return { allowedPart: 1, organisation, use: undefined }
     const use = this.findUse(organisation)
-    use.observeAsked(now)
+    use.observeRequest(now)
     this.changed.add(organisation)
-    return { allowedPart: computeAllowedPart(this.describe(organisation, limit, use, now)), organisation, use }
+    return { allowedPart: computeAdmittedShare(this.describe(organisation, limit, use, now)), organisation, use }
   }
 
   /** Counts the request as admitted. */
   observeLetThrough ({ use }: AllowanceClaim, now: number): void {
-    use?.observeLetThrough(now)
+    use?.observeAdmission(now)
   }
 
   /** Takes an admitted request off the counts again, as it was not run and won't be. */
   releaseUse ({ use, organisation }: AllowanceClaim, letThroughAt: number, now: number): void {
-    use?.releaseUse(letThroughAt, now)
+    use?.releaseAdmission(letThroughAt, now)
     this.changed.add(organisation)
   }
 
   /** Returns the totals that changed since the last but one report. Each change is reported twice, because datagrams may be lost. */
-  takeTotals (): Map<number, UseTotals> {
-    const totals = new Map<number, UseTotals>()
+  takeTotals (): Map<number, UsageTotals> {
+    const totals = new Map<number, UsageTotals>()
     for (const hash of new Set([...this.changed, ...this.changedBefore])) {
       const use = this.uses.get(hash)
       if (use !== undefined) totals.set(hash, use.totals)
@@ -119,19 +119,19 @@
   hear (report: UseReport, now: number): void {
     const { availabilityZone, zone, fleet } = report
     if (availabilityZone === this.parts.availabilityZone) {
-      for (const [hash, increase] of this.peers.hear(report, now)) if (this.limits.has(hash)) this.findUse(hash).hearPeer(increase, now)
+      for (const [hash, increase] of this.peers.hear(report, now)) if (this.limits.has(hash)) this.findUse(hash).receivePeerIncrease(increase, now)
       if (fleet !== undefined) this.fleet.hear(report.host, fleet, now)
     } else if (zone !== undefined) this.findZone(availabilityZone).hear(report.host, zone, now)
   }
 
   /** Returns the usage in this zone that is reported to the other zones. */
   describeZone (now: number): ZoneUse {
-    const uses = new Map<number, KnownUse>()
+    const uses = new Map<number, AllowanceUsage>()
     const hosts = this.countZoneHosts(now)
     const named = this.findNamed(now)
     for (const [hash, use] of this.uses) {
       const limit = this.limits.get(hash) ?? Infinity
-      const known = use.describeZone(now)
+      const known = use.estimateZoneUsage(now)
       if (named.has(hash) || this.isNear(known, limit, hosts)) uses.set(hash, known)
     }
     return { hosts, unseenMs: this.computeUnseen(now), uses }
@@ -146,7 +146,7 @@
     return addZones([{ use: zone, ageMs: 0 }, ...this.listFresh(now)], this.findRate)
   }
 
-  private describe (hash: number, limit: number, own: OrganisationUse, now: number): AllowanceInput {
+  private describe (hash: number, limit: number, own: OrganisationUsage, now: number): AllowanceInput {
     const { hosts, unseenMs, uses } = this.findFleet(own, hash, now)
     const { letThrough: used, leavingPerSecond, askedPerSecond } = uses.get(hash) ?? NOTHING_USED
     // Requests may have been admitted at the full rate before this host received reports: when all hosts restart at the peak of a
@@ -154,20 +154,20 @@
     // the same rate.
     const rate = this.rates.get(hash) ?? 0
     const unseen = rate * unseenMs / 1_000
-    return { limit: limit - unseen, used, leavingPerSecond: leavingPerSecond + rate * unseenMs / this.parts.windowMs, askedPerSecond, reach: this.computeReach(hosts, now) }
+    return { limit: limit - unseen, admitted: used, leavingPerSecond: leavingPerSecond + rate * unseenMs / this.parts.windowMs, askedPerSecond, knownHostShare: this.computeReach(hosts, now) }
   }
 
   /**
    * Returns the usage of one organisation in all zones: an aggregator's last report plus the requests since, or else the sum that this
    * host computes itself.
    */
-  private findFleet (own: OrganisationUse, hash: number, now: number): FleetUse {
+  private findFleet (own: OrganisationUsage, hash: number, now: number): FleetUse {
     const told = this.fleet.find(now)
     const unseenMs = this.computeUnseen(now)
     const isSumming = this.parts.isSumming(now)
-    if (told !== undefined && (!isSumming || told.use.unseenMs < unseenMs)) return this.addSinceTold(pickOne(told, hash), hash, own.countOwn(now, UNTOLD_MS))
-    if (isSumming) return addZones([{ use: { hosts: this.countZoneHosts(now), unseenMs, uses: new Map([[hash, own.describeZone(now)]]) }, ageMs: 0 }, ...this.listFresh(now).map((heard) => pickOne(heard, hash))], this.findRate)
-    return { hosts: 1, unseenMs, uses: new Map([[hash, { ...own.describeZone(now), letThrough: own.countOwn(now, this.parts.windowMs), leavingPerSecond: 0 }]]) }
+    if (told !== undefined && (!isSumming || told.use.unseenMs < unseenMs)) return this.addSinceTold(pickOne(told, hash), hash, own.countOwnAdmitted(now, UNTOLD_MS))
+    if (isSumming) return addZones([{ use: { hosts: this.countZoneHosts(now), unseenMs, uses: new Map([[hash, own.estimateZoneUsage(now)]]) }, ageMs: 0 }, ...this.listFresh(now).map((heard) => pickOne(heard, hash))], this.findRate)
+    return { hosts: 1, unseenMs, uses: new Map([[hash, { ...own.estimateZoneUsage(now), letThrough: own.countOwnAdmitted(now, this.parts.windowMs), leavingPerSecond: 0 }]]) }
   }
 
   /**
@@ -232,16 +232,16 @@
   }
 
   /** Returns whether usage at some hosts is, or by its rate will be, at least NEAR_LIMIT_SHARE of these hosts' share of the limit. */
-  private isNear ({ letThrough, askedPerSecond }: KnownUse, limit: number, hosts: number): boolean {
+  private isNear ({ letThrough, askedPerSecond }: AllowanceUsage, limit: number, hosts: number): boolean {
     const soon = Math.max(letThrough, askedPerSecond * this.parts.windowMs / 1_000)
     return soon >= limit * NAMED_PART * hosts / Math.max(hosts, this.parts.countHosts())
   }
 
   /** Returns the counter of an organisation's requests at this host and at the other hosts of its zone. */
-  private findUse (hash: number): OrganisationUse {
+  private findUse (hash: number): OrganisationUsage {
     const known = this.uses.get(hash)
     if (known !== undefined) return known
-    const use = new OrganisationUse(this.parts.windowMs)
+    const use = new OrganisationUsage(this.parts.windowMs)
     this.uses.set(hash, use)
     return use
   }
--- a/packages/almondrelay-gateway/src/process/organisations/peerTotals.ts
+++ b/packages/almondrelay-gateway/src/process/organisations/peerTotals.ts
@@ -1,5 +1,5 @@
 import { putBounded } from '../../request/putBounded.js'
-import type { UseTotals } from '../../request/useTotals.js'
+import type { UsageTotals } from '../../request/usageTotals.js'
 import type { UseReport } from './useReport.js'
 
 /** Maximum hosts and organisations kept. Anybody can send datagrams with made-up names, so the maps have to be bounded. */
@@ -17,7 +17,7 @@
   heardAt: number
   /** Reports were received from the start of the incarnation, so an organisation that was in none of them had no requests. */
   isKnownFromStart: boolean
-  totals: Map<string, UseTotals>
+  totals: Map<string, UsageTotals>
 }
 
 /**
@@ -28,11 +28,11 @@
   private readonly peers = new Map<string, PeerState>()
 
   /** Returns the increase of each organisation's totals; empty if the report is no newer than the last one from the same incarnation. */
-  hear ({ host, incarnation, sequence, totals }: UseReport, now: number): Map<number, UseTotals> {
+  hear ({ host, incarnation, sequence, totals }: UseReport, now: number): Map<number, UsageTotals> {
     const known = this.peers.get(host)
     const isSameLife = known?.incarnation === incarnation
     if (isSameLife && sequence <= known.sequence) return new Map()
-    const peer = isSameLife ? known : { incarnation, sequence, heardAt: now, isKnownFromStart: sequence <= FIRST_REPORTS, totals: new Map<string, UseTotals>() }
+    const peer = isSameLife ? known : { incarnation, sequence, heardAt: now, isKnownFromStart: sequence <= FIRST_REPORTS, totals: new Map<string, UsageTotals>() }
     peer.sequence = sequence
     peer.heardAt = now
     putBounded(this.peers, host, peer, MOST_PEERS)
@@ -46,7 +46,7 @@
     return heard
   }
 
-  private advance (peer: PeerState, organisation: number, total: UseTotals): Array<[number, UseTotals]> {
+  private advance (peer: PeerState, organisation: number, total: UsageTotals): Array<[number, UsageTotals]> {
     const before = peer.totals.get(String(organisation)) ?? (peer.isKnownFromStart ? { asked: 0, letThrough: 0 } : undefined)
     putBounded(peer.totals, String(organisation), total, MOST_ORGANISATIONS)
     return before === undefined ? [] : [[organisation, { asked: total.asked - before.asked, letThrough: total.letThrough - before.letThrough }]]
--- a/packages/almondrelay-gateway/src/process/organisations/useReport.ts
+++ b/packages/almondrelay-gateway/src/process/organisations/useReport.ts
@@ -1,5 +1,5 @@
 import type { FleetUse } from './fleetUse.js'
-import type { UseTotals } from '../../request/useTotals.js'
+import type { UsageTotals } from '../../request/usageTotals.js'
 import type { ZoneUse } from './zoneUse.js'
 
 /** A report of organisations' allowance usage from one host to another. */
@@ -10,7 +10,7 @@
   /** Increases with each report of the same incarnation. */
   sequence: number
   /** Counts of the sender alone, by the hash of the organisation's name; only those that changed recently. */
-  totals: ReadonlyMap<number, UseTotals>
+  totals: ReadonlyMap<number, UsageTotals>
   /** Usage in the sender's zone, sent to the aggregators of the other zones. */
   zone: ZoneUse | undefined
   /** Usage in all zones, sent to the hosts of the sender's zone. */
--- a/packages/almondrelay-gateway/src/process/organisations/zoneUse.ts
+++ b/packages/almondrelay-gateway/src/process/organisations/zoneUse.ts
@@ -1,4 +1,4 @@
-import type { KnownUse } from '../../request/knownUse.js'
+import type { AllowanceUsage } from '../../request/allowanceUsage.js'
 
 /** Allowance usage of organisations at the hosts of one availability zone. */
 export interface ZoneUse {
@@ -7,5 +7,5 @@
   /** Milliseconds at the start of the window in which the sender didn't receive reports yet; requests admitted then are not included. */
   unseenMs: number
   /** Usage by the hash of the organisation's name. Organisations that are far below their limit are left out. */
-  uses: ReadonlyMap<number, KnownUse>
+  uses: ReadonlyMap<number, AllowanceUsage>
 }
--- a/packages/almondrelay-gateway/src/process/peers/peerExchange.ts
+++ b/packages/almondrelay-gateway/src/process/peers/peerExchange.ts
@@ -122,9 +122,9 @@
   private hearCounts ({ host, inFlight }: PeerReport, before: ReadonlyMap<number, number>, now: number): void {
     const { fleet } = this.parts
     for (const hash of before.keys()) {
-      if (!inFlight.has(hash)) fleet.findIncarnation(hash)?.hearPeerCount(host, 0, now)
+      if (!inFlight.has(hash)) fleet.findIncarnation(hash)?.receivePeerCount(host, 0, now)
     }
-    for (const [hash, count] of inFlight) fleet.findIncarnation(hash)?.hearPeerCount(host, count, now)
+    for (const [hash, count] of inFlight) fleet.findIncarnation(hash)?.receivePeerCount(host, count, now)
   }
 
   /** Sends a report to every host immediately, for example when this host is about to leave. */
--- a/packages/almondrelay-gateway/src/process/quarantine/suspectStore.ts
+++ b/packages/almondrelay-gateway/src/process/quarantine/suspectStore.ts
@@ -1,4 +1,4 @@
-import { computeRetryPause } from '../../request/computeRetryPause.js'
+import { computeRetryDelay } from '../../request/computeRetryDelay.js'
 import type { FleetCodec } from '../fleet/fleetCodec.js'
 import type { EventLog } from '../observe/eventLog.js'
 import type { RevisionStore } from '../store/revisionStore.js'
@@ -79,7 +79,7 @@
       failures = await this.trySave(suspect) ? 0 : failures + 1
       if (failures === 0) continue
       this.waiting.add(suspect)
-      await this.parts.sleep(computeRetryPause(RETRY, failures, this.parts.random()), this.signal)
+      await this.parts.sleep(computeRetryDelay(RETRY, failures, this.parts.random()), this.signal)
     }
     this.isSaving = false
   }
--- a/packages/almondrelay-gateway/src/request/__fixtures__/makeContext.ts
+++ b/packages/almondrelay-gateway/src/request/__fixtures__/makeContext.ts
@@ -6,15 +6,15 @@
     now: 0,
     keyHash: 1,
     homeRegion: 'akl',
-    findTripMs: (region) => region === 'akl' ? 2 : 40,
+    findRoundTripMs: (region) => region === 'akl' ? 2 : 40,
     warmMs: 100,
     coldMs: 300,
     meanMs: 100,
     targetLatencyMs: 250,
     isEligible: () => true,
     allowCold: () => false,
-    warmsUp: false,
-    allowAway: true,
+    isWarmUpRequest: false,
+    canSpill: true,
     ...context
   }
 }
--- a/packages/almondrelay-gateway/src/request/__tests__/chooseTarget.test.ts
+++ b/packages/almondrelay-gateway/src/request/__tests__/chooseTarget.test.ts
@@ -36,7 +36,7 @@
   for (const target of near) target.inFlight = 40
   const far = makeTarget({ id: 'far', region: 'wlg' })
   assert.is(chooseTarget([...near, far], makeContext())?.target, far)
-  assert.is(chooseTarget([...near, far], makeContext({ allowAway: false }))?.target.entry.region, 'akl')
+  assert.is(chooseTarget([...near, far], makeContext({ canSpill: false }))?.target.entry.region, 'akl')
 })
 
 // A zone was lost in a burst, and all remaining targets are busy. A key that leaves a long queue at its preferred target is
@@ -63,7 +63,7 @@
 
 test('a request leaves a region without targets even where leaving is not allowed', () => {
   const far = makeTarget({ id: 'far', region: 'wlg' })
-  assert.is(chooseTarget([far], makeContext({ allowAway: false }))?.target, far)
+  assert.is(chooseTarget([far], makeContext({ canSpill: false }))?.target, far)
 })
 
 test('a target that drains or has departed gets nothing', () => {
@@ -102,7 +102,7 @@
     const choice = chooseTarget(targets, context)
     assert.is.not(choice?.target, starting)
     assert.is(choice?.workMs, 770, 'the previous target has it cached')
-    assert.is(chooseTarget(targets, { ...context, warmsUp: true })?.target, starting, 'some requests warm the new target up')
+    assert.is(chooseTarget(targets, { ...context, isWarmUpRequest: true })?.target, starting, 'some requests warm the new target up')
   }
 })
 
@@ -112,7 +112,7 @@
   for (const keyHash of listOwnKeys()) {
     const { targets, starting } = listWithStarting()
     starting.inFlight = 30
-    assert.is.not(chooseTarget(targets, makeContext({ keyHash, now: 10, warmsUp: true }))?.target, starting)
+    assert.is.not(chooseTarget(targets, makeContext({ keyHash, now: 10, isWarmUpRequest: true }))?.target, starting)
   }
 })
 
@@ -127,7 +127,7 @@
   const own = new Set(listOwnKeys())
   const { targets, starting } = listWithStarting()
   for (const keyHash of listKeys().filter((each) => !own.has(each))) {
-    assert.is.not(chooseTarget(targets, makeContext({ keyHash, now: 10, warmsUp: true }))?.target, starting)
+    assert.is.not(chooseTarget(targets, makeContext({ keyHash, now: 10, isWarmUpRequest: true }))?.target, starting)
   }
 })
 
--- a/packages/almondrelay-gateway/src/request/__tests__/planDeclaredParts.test.ts
+++ b/packages/almondrelay-gateway/src/request/__tests__/planDeclaredShares.test.ts
@@ -2,14 +2,14 @@
 import * as assert from 'uvu/assert'
 import { Configuration, type Resource } from 'almondrelay'
 import { DeclaredSteering } from '../../version/declaredSteering.js'
-import { planDeclaredParts } from '../planDeclaredParts.js'
+import { planDeclaredShares } from '../planDeclaredShares.js'
 
 const test = suite('planDeclaredShares')
 const regions = ['akl', 'wlg', 'chc']
 const plan = (resources: Resource[], byLoad = new Map([['akl', 0.7], ['wlg', 0.3]]), ownBusySlots = 10): Record<string, number> => {
   const steering = new DeclaredSteering(Configuration.restore(1, resources), 'akl')
-  const parts = planDeclaredParts({ service: 'balances', ownRegion: 'akl', regions, byLoad, steering, ownBusySlots })
-  return Object.fromEntries([...parts].map(([region, part]) => [region, Math.round(part * 100) / 100]))
+  const shares = planDeclaredShares({ service: 'balances', ownRegion: 'akl', regions, sharesByLoad: byLoad, steering, ownBusySlots })
+  return Object.fromEntries([...shares].map(([region, share]) => [region, Math.round(share * 100) / 100]))
 }
 const drain = (region: string): Resource => ({ kind: 'Drain', name: `drain-${region}`, revision: 1, spec: { scope: 'region', name: region } })
 
--- a/packages/almondrelay-gateway/src/request/__tests__/retryAllowance.test.ts
+++ b/packages/almondrelay-gateway/src/request/__tests__/retryAllowance.test.ts
@@ -14,21 +14,21 @@
   fc.assert(fc.property(fc.array(step, { minLength: 50, maxLength: 400 }), (steps) => {
     const hosts = Array.from({ length: 5 }, () => new RetryAllowance(BOUND))
     const requests: number[] = []
-    const repeats: number[] = []
+    const retries: number[] = []
     let now = 0
     for (const { host, gapMs } of steps) {
       now += gapMs
       const allowance = hosts[host] as RetryAllowance
       allowance.observeRequest(now)
       requests.push(now)
-      for (let repeat = 0; repeat < 3; repeat += 1) {
-        if (allowance.use(now, 4)) repeats.push(now)
+      for (let retry = 0; retry < 3; retry += 1) {
+        if (allowance.use(now, 4)) retries.push(now)
       }
     }
-    for (const end of repeats) {
+    for (const end of retries) {
       const isInWindow = (at: number): boolean => at <= end && at > end - BOUND.windowMs
       const allowed = requests.filter(isInWindow).length * BOUND.ratio + BOUND.extra
-      assert.ok(repeats.filter(isInWindow).length <= allowed)
+      assert.ok(retries.filter(isInWindow).length <= allowed)
     }
   }), { seed: SEED, numRuns: 200 })
 })
--- a/packages/almondrelay-gateway/src/request/__tests__/shiftCapUse.test.ts
+++ b/packages/almondrelay-gateway/src/request/__tests__/shiftCapUsage.test.ts
@@ -3,7 +3,7 @@
 import * as assert from 'uvu/assert'
 import { Configuration } from 'almondrelay'
 import { DeclaredSteering } from '../../version/declaredSteering.js'
-import { ShiftCapUse } from '../shiftCapUse.js'
+import { ShiftCapUsage } from '../shiftCapUsage.js'
 
 const test = suite('ShiftCapUsage')
 const SEED = 20_261_203
@@ -12,7 +12,7 @@
 ]), 'akl')
 
 test('requests above the cap stay, and each answer makes room', () => {
-  const use = new ShiftCapUse()
+  const use = new ShiftCapUsage()
   const steering = makeCap(4)
   for (let sent = 0; sent < 2; sent += 1) use.begin('balances', 'wlg')
   assert.not(use.allow(steering, 'requests', 'wlg', 2))
@@ -22,14 +22,14 @@
 })
 
 test('a cap for one service does not affect the others', () => {
-  const use = new ShiftCapUse()
+  const use = new ShiftCapUsage()
   use.begin('requests', 'wlg')
   assert.ok(use.allow(makeCap(1, 'balances'), 'balances', 'wlg', 1))
   assert.ok(use.allow(makeCap(1, 'balances'), 'requests', 'wlg', 1))
 })
 
 test('a host that does not know the fleet shifts nothing under a cap', () => {
-  assert.not(new ShiftCapUse().allow(makeCap(100), 'balances', 'wlg', undefined))
+  assert.not(new ShiftCapUsage().allow(makeCap(100), 'balances', 'wlg', undefined))
 })
 
 // An operator caps a shift so that the link between two regions isn't filled. Hosts join and leave, and each sees the fleet a
@@ -38,9 +38,9 @@
   const step = fc.record({ host: fc.nat(4), ends: fc.boolean(), seen: fc.integer({ min: 5, max: 9 }) })
   fc.assert(fc.property(fc.integer({ min: 0, max: 40 }), fc.array(step, { maxLength: 300 }), (cap, steps) => {
     const steering = makeCap(cap)
-    const hosts = Array.from({ length: 5 }, () => new ShiftCapUse())
+    const hosts = Array.from({ length: 5 }, () => new ShiftCapUsage())
     for (const { host, ends, seen } of steps) {
-      const use = hosts[host] as ShiftCapUse
+      const use = hosts[host] as ShiftCapUsage
       if (ends && use.countRunning('wlg') > 0) use.finish('balances', 'wlg')
       else if (use.allow(steering, 'balances', 'wlg', seen)) use.begin('balances', 'wlg')
       assert.ok(hosts.reduce((sum, each) => sum + each.countRunning('wlg'), 0) <= cap)
--- a/packages/almondrelay-gateway/src/request/admissionInput.ts
+++ b/packages/almondrelay-gateway/src/request/admissionInput.ts
@@ -8,5 +8,5 @@
   /** Milliseconds since the request arrived. */
   elapsedMs: number
   /** Milliseconds until the caller stops waiting. */
-  leftMs: number
+  remainingMs: number
 }
--- a/packages/almondrelay-gateway/src/request/choiceContext.ts
+++ b/packages/almondrelay-gateway/src/request/choiceContext.ts
@@ -9,7 +9,7 @@
   /** Home region of the key: the region to which the key's hash leads first. */
   homeRegion: string
   /** Returns the round-trip time to a region, in milliseconds. */
-  findTripMs: (region: string) => number
+  findRoundTripMs: (region: string) => number
   /** Expected work, in milliseconds, on an object that the target has cached (`warmMs`) and on one that it hasn't (`coldMs`). */
   warmMs: number
   coldMs: number
@@ -22,7 +22,7 @@
   /** Whether this host may send one more request to a cold target. */
   allowCold: (target: TargetState) => boolean
   /** Whether the request is used to warm up its key's preferred target, although another target has the object cached. */
-  warmsUp: boolean
+  isWarmUpRequest: boolean
   /** Whether the request may leave its home region although usable targets are left there. */
-  allowAway: boolean
+  canSpill: boolean
 }
--- a/packages/almondrelay-gateway/src/request/chooseTarget.ts
+++ b/packages/almondrelay-gateway/src/request/chooseTarget.ts
@@ -5,7 +5,7 @@
 import type { TargetState } from './targetState.js'
 
 /** Approximate factor by which work takes longer at a cold target, during its first seconds. */
-const COLD_TARGET_RATIO = 2
+const COLD_TARGET_SLOWNESS = 2
 /**
  * Cost of one failure, as a multiple of the latency target: the request is late, and its retry is one of the few that all hosts
  * together may send to the service. At this cost a target that fails 4 of 10 requests loses its keys.
@@ -16,19 +16,19 @@
  * Maximum number of targets that are considered for a key, as they may have its object cached: the preferred target, and the
  * second one, which gets the request when the preferred target is full.
  */
-const TARGETS_OF_KEY = 2
+const MAX_TARGETS_PER_KEY = 2
 
 /** Rank of a preferred target that is warming up and has nothing cached yet: the same as that of a second target. */
-const STARTING_RANK = 1
+const WARMING_UP_RANK = 1
 
 /** Cost of caching an object at a second target, as a share of the additional work that an uncached object takes. */
-const SECOND_PLACE_PART = 0.4
+const SECOND_TARGET_COST_SHARE = 0.4
 /**
  * Cost of working on an uncached object at a target whose slots are all busy, as a multiple of the additional work; it grows with
  * the square of the share of busy slots. An idle target costs next to nothing, so that a hot key, or one whose preferred target
  * is slow, gets a second target; while all targets are overloaded, keys stay where they are cached.
  */
-const BUSY_PLACE_PART = 8
+const BUSY_TARGET_COST_FACTOR = 8
 
 /**
  * Chooses the target with the lowest expected cost, mostly the one that answers soonest; undefined where no target is left. A
@@ -43,28 +43,28 @@
 export function chooseTarget (targets: readonly TargetState[], context: ChoiceContext): TargetChoice | undefined {
   const eligible = targets.filter((target) => !target.isLeaving() && context.isEligible(target))
   const usable = eligible.filter((target) => !target.isSuspended(context.now))
-  const near = usable.filter((target) => target.entry.region === context.homeRegion)
-  const atHome = findSoonest(near, context)
-  if (atHome !== undefined && !context.allowAway) return atHome
-  const elsewhere = findSoonest(usable.filter((target) => target.entry.region !== context.homeRegion), context)
-  if (atHome === undefined) return elsewhere ?? findSoonest(eligible, context)
-  return elsewhere !== undefined && elsewhere.costMs < atHome.costMs ? elsewhere : atHome
+  const homeTargets = usable.filter((target) => target.entry.region === context.homeRegion)
+  const homeChoice = chooseAmong(homeTargets, context)
+  if (homeChoice !== undefined && !context.canSpill) return homeChoice
+  const remoteChoice = chooseAmong(usable.filter((target) => target.entry.region !== context.homeRegion), context)
+  if (homeChoice === undefined) return remoteChoice ?? chooseAmong(eligible, context)
+  return remoteChoice !== undefined && remoteChoice.costMs < homeChoice.costMs ? remoteChoice : homeChoice
 }
 
-const findSoonest = (targets: readonly TargetState[], context: ChoiceContext): TargetChoice | undefined => {
-  const settled = targets.filter((target) => !target.isWarmingUp(context.now))
-  if (settled.length === targets.length || settled.length === 0) return findCheapest(listChoices(targets, context))
-  const choices = listChoices(settled, context)
-  const starting = findStarting(targets.filter((target) => target.isWarmingUp(context.now)), choices[0], context)
-  if (starting === undefined) return findCheapest(choices)
+const chooseAmong = (targets: readonly TargetState[], context: ChoiceContext): TargetChoice | undefined => {
+  const warmedUp = targets.filter((target) => !target.isWarmingUp(context.now))
+  if (warmedUp.length === targets.length || warmedUp.length === 0) return findCheapest(listChoices(targets, context))
+  const choices = listChoices(warmedUp, context)
+  const warmingUpChoice = findWarmingUpChoice(targets.filter((target) => target.isWarmingUp(context.now)), choices[0], context)
+  if (warmingUpChoice === undefined) return findCheapest(choices)
   // A target that has a queue by now is warm enough: a request sent there would be refused although the target that has the
   // object cached has room.
-  const warmsUp = context.warmsUp && starting.waitMs === 0 && !starting.target.isCold(context.now)
-  return warmsUp ? starting : findCheapest([...choices, starting])
+  const shouldWarmUp = context.isWarmUpRequest && warmingUpChoice.waitMs === 0 && !warmingUpChoice.target.isCold(context.now)
+  return shouldWarmUp ? warmingUpChoice : findCheapest([...choices, warmingUpChoice])
 }
 
 const listChoices = (targets: readonly TargetState[], context: ChoiceContext): TargetChoice[] =>
-  pickTargets(targets, context.keyHash, TARGETS_OF_KEY, (target) => isAllowed(target, context)).map(({ target, rank }) => estimateChoice(target, rank, context))
+  pickTargets(targets, context.keyHash, MAX_TARGETS_PER_KEY, (target) => isAllowed(target, context)).map(({ target, rank }) => estimateChoice(target, rank, context))
 
 /**
  * Chooses the key's preferred target where that target is warming up; undefined where it isn't.
@@ -74,11 +74,11 @@
  * one request a second and three seconds of work that is four or five requests, most of which would time out. Instead, the target
  * that had the object cached before goes on serving it, and gives way to the new target by queue length, as to any second target.
  */
-const findStarting = (targets: readonly TargetState[], holder: TargetChoice | undefined, context: ChoiceContext): TargetChoice | undefined => {
-  const [own] = pickTargets(targets, context.keyHash, 1, (target) => isAllowed(target, context))
-  if (own === undefined) return undefined
-  const isFirst = holder === undefined || computePairHash(own.target.hash, context.keyHash) > computePairHash(holder.target.hash, context.keyHash)
-  return isFirst ? estimateChoice(own.target, STARTING_RANK, context) : undefined
+const findWarmingUpChoice = (targets: readonly TargetState[], warmedUpChoice: TargetChoice | undefined, context: ChoiceContext): TargetChoice | undefined => {
+  const [preferred] = pickTargets(targets, context.keyHash, 1, (target) => isAllowed(target, context))
+  if (preferred === undefined) return undefined
+  const isPreferred = warmedUpChoice === undefined || computePairHash(preferred.target.hash, context.keyHash) > computePairHash(warmedUpChoice.target.hash, context.keyHash)
+  return isPreferred ? estimateChoice(preferred.target, WARMING_UP_RANK, context) : undefined
 }
 
 const isAllowed = (target: TargetState, context: ChoiceContext): boolean => !target.isCold(context.now) || context.allowCold(target)
@@ -94,17 +94,17 @@
 const estimateChoice = (target: TargetState, rank: number, context: ChoiceContext): TargetChoice => {
   const { now, warmMs, coldMs } = context
   const outstanding = target.countOutstanding(now)
-  const speed = target.getSpeedRatio(now) * (target.isCold(now) ? COLD_TARGET_RATIO : 1)
-  const isHeld = target.warmKeys.has(context.keyHash)
-  const isWarm = (rank === 0 && target.entry.region === context.homeRegion) || isHeld
-  const workMs = (isWarm ? warmMs : coldMs) * speed
+  const slowness = target.getSlowness(now) * (target.isCold(now) ? COLD_TARGET_SLOWNESS : 1)
+  const isCached = target.warmKeys.has(context.keyHash)
+  const isWarmWork = (rank === 0 && target.entry.region === context.homeRegion) || isCached
+  const workMs = (isWarmWork ? warmMs : coldMs) * slowness
   const ahead = Math.max(0, outstanding + 1 - target.entry.slots)
-  const waitMs = ahead / target.entry.slots * context.meanMs * speed
-  const tripMs = context.findTripMs(target.entry.region)
+  const waitMs = ahead / target.entry.slots * context.meanMs * slowness
+  const roundTripMs = context.findRoundTripMs(target.entry.region)
   const failureShare = Math.min(0.95, target.getFailureShare(now))
   const failureMs = failureShare / (1 - failureShare) * FAILURE_COST * context.targetLatencyMs
-  const burdenMs = estimateBurden(isWarm, rank, outstanding / target.entry.slots, coldMs - warmMs)
-  return { target, expectedMs: tripMs + waitMs + workMs, costMs: tripMs + waitMs + workMs + failureMs + burdenMs, workMs, waitMs, tripMs, rank, outstanding, isWarm: isHeld }
+  const laterCostMs = estimateLaterCost(isWarmWork, rank, outstanding / target.entry.slots, coldMs - warmMs)
+  return { target, expectedMs: roundTripMs + waitMs + workMs, costMs: roundTripMs + waitMs + workMs + failureMs + laterCostMs, workMs, waitMs, roundTripMs: roundTripMs, rank, outstanding, isCached: isCached }
 }
 
 /**
@@ -112,7 +112,7 @@
  * busier the target is. Caching an object at a second target evicts another object there: targets remember few objects, and with
  * every key at two targets the memory of a small region would be full and keep nothing for long.
  */
-const estimateBurden = (isWarm: boolean, rank: number, use: number, coldExtraMs: number): number => {
-  if (!isWarm) return coldExtraMs * (SECOND_PLACE_PART + BUSY_PLACE_PART * use ** 2)
-  return rank === 0 ? 0 : coldExtraMs * SECOND_PLACE_PART
+const estimateLaterCost = (isWarmWork: boolean, rank: number, usage: number, extraColdMs: number): number => {
+  if (!isWarmWork) return extraColdMs * (SECOND_TARGET_COST_SHARE + BUSY_TARGET_COST_FACTOR * usage ** 2)
+  return rank === 0 ? 0 : extraColdMs * SECOND_TARGET_COST_SHARE
 }
--- a/packages/almondrelay-gateway/src/request/coldAllowance.ts
+++ b/packages/almondrelay-gateway/src/request/coldAllowance.ts
@@ -6,7 +6,7 @@
  * Share of a cold target's permitted rate that its one sending host uses. Two hosts that see different fleets may both take
  * themselves for the sending host; the operators' bound of one and a half times the rate is enough for twice this share.
  */
-const USED_PART = 0.7
+const RATE_SHARE = 0.7
 
 /**
  * Lets one host send requests to a cold target, evenly spaced.
@@ -15,38 +15,38 @@
  * send. So only one host sends: the first by rendezvous hashing among the live ones.
  */
 export class ColdAllowance {
-  private readonly nextAt = new Map<string, number>()
+  private readonly nextSendAt = new Map<string, number>()
   /** Whether this host is the one that sends, by target id; valid for as long as the same list of hosts is given. */
-  private readonly firsts = new Map<string, { hosts: readonly string[], isFirst: boolean }>()
+  private readonly senderByTarget = new Map<string, { hosts: readonly string[], isSender: boolean }>()
 
   constructor (private readonly ownHost: string) {}
 
   /** @param hosts names of the live hosts that may send; undefined while they are unknown */
   allow (target: TargetState, perSecond: number, hosts: readonly string[] | undefined, now: number): boolean {
-    if (perSecond <= 0 || hosts === undefined || !this.isFirst(target, hosts)) return false
-    return now >= (this.nextAt.get(target.entry.id) ?? 0)
+    if (perSecond <= 0 || hosts === undefined || !this.isSender(target, hosts)) return false
+    return now >= (this.nextSendAt.get(target.entry.id) ?? 0)
   }
 
   /** Records a request that is sent to a cold target now. */
   observeSend (target: TargetState, perSecond: number, now: number): void {
-    this.nextAt.set(target.entry.id, now + 1_000 / (perSecond * USED_PART))
+    this.nextSendAt.set(target.entry.id, now + 1_000 / (perSecond * RATE_SHARE))
   }
 
   drop (targetId: string): void {
-    this.nextAt.delete(targetId)
-    this.firsts.delete(targetId)
+    this.nextSendAt.delete(targetId)
+    this.senderByTarget.delete(targetId)
   }
 
-  private isFirst (target: TargetState, hosts: readonly string[]): boolean {
+  private isSender (target: TargetState, hosts: readonly string[]): boolean {
     const { id } = target.entry
-    const known = this.firsts.get(id)
-    if (known?.hosts === hosts) return known.isFirst
-    const isFirst = this.weighHosts(target, hosts)
-    this.firsts.set(id, { hosts, isFirst })
-    return isFirst
+    const known = this.senderByTarget.get(id)
+    if (known?.hosts === hosts) return known.isSender
+    const isSender = this.computeIsSender(target, hosts)
+    this.senderByTarget.set(id, { hosts, isSender: isSender })
+    return isSender
   }
 
-  private weighHosts (target: TargetState, hosts: readonly string[]): boolean {
+  private computeIsSender (target: TargetState, hosts: readonly string[]): boolean {
     const weigh = (host: string): number => computePairHash(computeHash(host), target.hash)
     const own = weigh(this.ownHost)
     return hosts.includes(this.ownHost) && hosts.every((host) => weigh(host) <= own)
--- a/packages/almondrelay-gateway/src/request/computeAllowedPart.ts
+++ b/packages/almondrelay-gateway/src/request/computeAdmittedShare.ts
@@ -1,17 +1,17 @@
 import type { AllowanceInput } from './allowanceInput.js'
 
 /** Seconds of requests for which there must be room: what the other hosts have admitted is known with about this delay. */
-const SETTLING_S = 0.8
+const REPORT_DELAY_S = 0.8
 /**
  * Share of the limit that is kept in reserve: what the other hosts have admitted is known late, so a sudden rise in requests
  * exceeds the value that is aimed at.
  */
-const HELD_BACK_PART = 0.05
+const RESERVE_SHARE = 0.05
 /**
  * Requests by which the reserve is reduced, so that small limits need no reserve: a limit of a hundred in a window is exceeded by
  * a few requests, if at all.
  */
-const SPARED_REQUESTS = 5
+const RESERVE_REDUCTION_REQUESTS = 5
 
 /**
  * Computes the share of an organisation's requests that this host admits, so that all hosts together keep to its allowance.
@@ -28,10 +28,10 @@
  * A host that doesn't receive the reports of all others keeps to a share of the limit: the share of all hosts that it knows.
  * Otherwise the two sides of a partition would each admit the whole limit, and together twice as much.
  */
-export function computeAllowedPart ({ limit, used, leavingPerSecond, askedPerSecond, reach }: AllowanceInput): number {
-  const aim = limit - Math.max(0, limit * HELD_BACK_PART - SPARED_REQUESTS)
-  const room = aim * reach - used + leavingPerSecond * SETTLING_S
+export function computeAdmittedShare ({ limit, admitted: admitted, leavingPerSecond, askedPerSecond, knownHostShare: knownHostShare }: AllowanceInput): number {
+  const reducedLimit = limit - Math.max(0, limit * RESERVE_SHARE - RESERVE_REDUCTION_REQUESTS)
+  const room = reducedLimit * knownHostShare - admitted + leavingPerSecond * REPORT_DELAY_S
   if (room <= 0) return 0
-  const soon = askedPerSecond * SETTLING_S
-  return soon <= room ? 1 : room / soon
+  const expectedRequests = askedPerSecond * REPORT_DELAY_S
+  return expectedRequests <= room ? 1 : room / expectedRequests
 }
--- a/packages/almondrelay-gateway/src/request/computeRetryPause.ts
+++ b/packages/almondrelay-gateway/src/request/computeRetryDelay.ts
@@ -1,4 +1,4 @@
-interface PauseBounds {
+interface RetryDelayBounds {
   /** Delay in milliseconds after the first failure; doubled with each further one. */
   firstMs: number
   /** Maximum of the doubled delay, in milliseconds. */
@@ -13,6 +13,6 @@
  * @param failures calls that failed in a row, including the last one
  * @param random in [0, 1)
  */
-export function computeRetryPause ({ firstMs, longestMs }: PauseBounds, failures: number, chance: number): number {
-  return Math.min(longestMs, firstMs * 2 ** (failures - 1)) * (0.5 + chance)
+export function computeRetryDelay ({ firstMs, longestMs }: RetryDelayBounds, failures: number, random: number): number {
+  return Math.min(longestMs, firstMs * 2 ** (failures - 1)) * (0.5 + random)
 }
--- a/packages/almondrelay-gateway/src/request/decideAdmission.ts
+++ b/packages/almondrelay-gateway/src/request/decideAdmission.ts
@@ -6,11 +6,11 @@
  * whose object is cached, would still be on time; with a lower one, requests for keys that move to another region would be
  * refused there.
  */
-const LEAST_WAIT_PART = 0.15
+const MIN_WAIT_WORK_RATIO = 0.15
 /** Share of the time left after round trip and work that a request may spend in a queue and still count as being on time. */
-const SLACK_PART = 0.9
+const USABLE_SLACK_SHARE = 0.9
 /** Minimum time, in milliseconds, after which a refused caller may come back, so that it doesn't find the same queue. */
-const LEAST_RETRY_MS = 40
+const MIN_RETRY_AFTER_MS = 40
 
 /**
  * Returns the milliseconds after which a caller may come back, or 0 where its request is sent now.
@@ -20,8 +20,8 @@
  * the time after which there will be room. A request that would be late even without a queue is served only where it hardly has
  * to wait: its answer still has some value, and its object is cached from then on.
  */
-export function decideAdmission ({ choice, targetLatencyMs, elapsedMs, leftMs }: AdmissionInput): number {
-  const slackMs = (targetLatencyMs - elapsedMs - choice.tripMs - choice.workMs) * SLACK_PART
-  const allowedMs = Math.min(leftMs, Math.max(slackMs, choice.workMs * LEAST_WAIT_PART))
-  return choice.waitMs <= allowedMs ? 0 : Math.max(LEAST_RETRY_MS, choice.waitMs - allowedMs)
+export function decideAdmission ({ choice, targetLatencyMs, elapsedMs, remainingMs: remainingMs }: AdmissionInput): number {
+  const slackMs = (targetLatencyMs - elapsedMs - choice.roundTripMs - choice.workMs) * USABLE_SLACK_SHARE
+  const maxWaitMs = Math.min(remainingMs, Math.max(slackMs, choice.workMs * MIN_WAIT_WORK_RATIO))
+  return choice.waitMs <= maxWaitMs ? 0 : Math.max(MIN_RETRY_AFTER_MS, choice.waitMs - maxWaitMs)
 }
--- a/packages/almondrelay-gateway/src/request/decideNextStep.ts
+++ b/packages/almondrelay-gateway/src/request/decideNextStep.ts
@@ -7,7 +7,7 @@
  * Statuses that assure a caller that its request hasn't run. From a target they count only where it also states that it didn't
  * run the request; without that statement the request may have run.
  */
-const PROMISING_STATUSES = [408, 421, 429, 503]
+const NOT_RUN_STATUSES = [408, 421, 429, 503]
 
 /**
  * Decides what to do with the result of one attempt.
@@ -17,13 +17,13 @@
  * twice.
  */
 export function decideNextStep (result: AttemptResult, isIdempotent: boolean): NextStep {
-  const afterDoubt = isIdempotent ? NextStep.retryMaybeRun : NextStep.giveUp
+  const stepIfMaybeRun = isIdempotent ? NextStep.retryMaybeRun : NextStep.giveUp
   return match(result)
     .with({ kind: 'not-sent' }, () => NextStep.resend)
-    .with({ kind: 'broken' }, () => afterDoubt)
+    .with({ kind: 'broken' }, () => stepIfMaybeRun)
     .with({ kind: 'answered', head: P.union({ isMisdirected: true }, { isNotRun: true }) }, () => NextStep.retryNotRun)
-    .with({ kind: 'answered', head: { isGenuine: false } }, () => afterDoubt)
-    .with({ kind: 'answered', head: { status: P.when((status) => PROMISING_STATUSES.includes(status)) } }, () => afterDoubt)
+    .with({ kind: 'answered', head: { isGenuine: false } }, () => stepIfMaybeRun)
+    .with({ kind: 'answered', head: { status: P.when((status) => NOT_RUN_STATUSES.includes(status)) } }, () => stepIfMaybeRun)
     .with({ kind: 'answered', head: { status: P.number.gte(FIRST_FAILURE_STATUS) } }, () => isIdempotent ? NextStep.retryMaybeRun : NextStep.deliver)
     .otherwise(() => NextStep.deliver)
 }
--- a/packages/almondrelay-gateway/src/request/describeResult.ts
+++ b/packages/almondrelay-gateway/src/request/describeResult.ts
@@ -1,7 +1,7 @@
 import { RefusalReason } from 'almondrelay'
 import type { AttemptResult } from './attemptResult.js'
 
-interface ResultWords {
+interface ResultDescription {
   /** Text for people. */
   text: string
   /** Reason code for the account. */
@@ -9,7 +9,7 @@
 }
 
 /** Describes the result of an attempt. */
-export function describeResult (result: AttemptResult): ResultWords {
+export function describeResult (result: AttemptResult): ResultDescription {
   if (result.kind === 'not-sent') return { text: `not-sent: ${result.reason}`, cause: RefusalReason.targetUnreachable }
   if (result.kind === 'broken') return { text: `broken: ${result.reason}`, cause: RefusalReason.answerLost }
   const { head } = result
--- a/packages/almondrelay-gateway/src/request/hostLoad.ts
+++ b/packages/almondrelay-gateway/src/request/hostLoad.ts
@@ -4,21 +4,21 @@
  */
 const ACCEPTED_DELAY_MS = 150
 /** Maximum share of requests that is shed: some requests are always admitted, so that the host notices when the delay is over. */
-const MOST_SHED = 0.95
+const MAX_SHED_SHARE = 0.95
 /** Factor by which the shed share falls with each observation without a delay: from the maximum to a tenth within half a second. */
-const CALMING = 0.8
+const SHED_SHARE_DECAY = 0.8
 /** Shed share below which nothing is shed any more. */
-const LEAST_SHED = 0.02
+const MIN_SHED_SHARE = 0.02
 /** Exponents for the most and the least urgent requests: less urgent requests are shed more, but no kind of request is shut out. */
-const URGENT_WEIGHT = 0.8
-const PATIENT_WEIGHT = 1.2
+const MOST_URGENT_EXPONENT = 0.8
+const LEAST_URGENT_EXPONENT = 1.2
 /**
  * Bounds of the time, in milliseconds, after which a shed caller may come back; between them it is twice the delay. Another host
  * may serve the caller at once, and callers wait for a few seconds in all.
  */
-const LEAST_RETRY_MS = 200
-const LONGEST_RETRY_MS = 1_000
-const RETRY_DELAYS = 2
+const MIN_RETRY_AFTER_MS = 200
+const MAX_RETRY_AFTER_MS = 1_000
+const RETRY_AFTER_DELAY_FACTOR = 2
 
 /**
  * Decides whether this host has processor time for one more request.
@@ -32,7 +32,7 @@
 export class HostLoad {
   private delayMs = 0
   private readDelayMs = 0
-  private shedPart = 0
+  private shedShare = 0
 
   /**
    * Records the current delay of this host; returns whether shedding begins or ends with it.
@@ -47,13 +47,13 @@
     this.delayMs = delayMs
     // Only the share of the delayed work that fits into the accepted delay is kept.
     const excess = delayMs > ACCEPTED_DELAY_MS ? 1 - ACCEPTED_DELAY_MS / delayMs : 0
-    const calmed = this.shedPart * CALMING
-    this.shedPart = Math.min(MOST_SHED, Math.max(excess, calmed < LEAST_SHED ? 0 : calmed))
+    const decayed = this.shedShare * SHED_SHARE_DECAY
+    this.shedShare = Math.min(MAX_SHED_SHARE, Math.max(excess, decayed < MIN_SHED_SHARE ? 0 : decayed))
     return this.isShedding !== wasShedding
   }
 
   get isShedding (): boolean {
-    return this.shedPart > 0
+    return this.shedShare > 0
   }
 
   /** Current delay of this host, in milliseconds. */
@@ -72,10 +72,10 @@
    * @param relativePriority 0 for the most urgent requests, 1 for the least urgent ones
    * @param random in [0, 1)
    */
-  allow (patience: number, random: number): boolean {
-    if (this.shedPart === 0) return true
-    const weight = URGENT_WEIGHT + (PATIENT_WEIGHT - URGENT_WEIGHT) * patience
-    return random < (1 - this.shedPart) ** weight
+  allow (relativePriority: number, random: number): boolean {
+    if (this.shedShare === 0) return true
+    const exponent = MOST_URGENT_EXPONENT + (LEAST_URGENT_EXPONENT - MOST_URGENT_EXPONENT) * relativePriority
+    return random < (1 - this.shedShare) ** exponent
   }
 
   /**
@@ -84,6 +84,6 @@
    * @param random in [0, 1)
    */
   computeRetryAfter (random: number): number {
-    return Math.min(LONGEST_RETRY_MS, Math.max(LEAST_RETRY_MS, this.delayMs * RETRY_DELAYS)) * (1 + random)
+    return Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, this.delayMs * RETRY_AFTER_DELAY_FACTOR)) * (1 + random)
   }
 }
--- a/packages/almondrelay-gateway/src/request/findLapse.ts
+++ b/packages/almondrelay-gateway/src/request/isLapseLikely.ts
@@ -2,9 +2,9 @@
  * Share of all known targets whose entries must be missing at once for that to count as a lapse of entries and not as so many
  * exits.
  */
-const LAPSE_PART = 0.5
+const MIN_LAPSED_SHARE = 0.5
 /** Minimum number of targets whose entries must be missing at once; fewer may well exit together. */
-const LEAST_LAPSED = 3
+const MIN_LAPSED_ENTRIES = 3
 
 interface EntryView {
   /** Targets known before, by id, with the revisions at which their entries were created. */
@@ -20,9 +20,9 @@
  * targets that left meanwhile. The entries of the other targets tell the two apart: after a lapse they are new ones, or there are
  * none yet; otherwise they are the same as before.
  */
-export function findLapse ({ known, present }: EntryView): boolean {
+export function isLapseLikely ({ known, present }: EntryView): boolean {
   const kept = [...known.keys()].filter((id) => present.has(id))
   const missing = known.size - kept.length
   if (kept.some((id) => present.get(id) !== known.get(id))) return true
-  return missing >= LEAST_LAPSED && missing >= known.size * LAPSE_PART
+  return missing >= MIN_LAPSED_ENTRIES && missing >= known.size * MIN_LAPSED_SHARE
 }
--- a/packages/almondrelay-gateway/src/request/regionParts.ts
+++ b/packages/almondrelay-gateway/src/request/regionShares.ts
@@ -5,14 +5,14 @@
 /** Length of the window, in milliseconds, for which the operators bound shifts between regions. */
 const SHIFT_WINDOW_MS = 2_000
 /** Share of the operators' bound that planned steps use; the rest is for requests that spill from a full region at once. */
-const USED_PART = 0.45
+const PLANNED_SHIFT_SHARE = 0.45
 /**
  * Difference between planned and current shares at which a move begins, and at which it ends. The object of each key that moves
  * is worked on from scratch in its new region; small differences cost less than that. The threshold also keeps the shares with
  * which all hosts would begin after a common restart in force for longer.
  */
-const MOVE_FROM = 0.15
-const MOVE_TO = 0.03
+const MIN_DIFFERENCE_TO_START = 0.15
+const MIN_DIFFERENCE_TO_CONTINUE = 0.03
 
 /**
  * Shares of one service's requests that go to each region, moved in small steps.
@@ -20,52 +20,52 @@
  * A plan follows load that is reported late, so a jump to each new plan would overshoot, flood targets that have none of the
  * objects cached, and swing back. Times are monotonic milliseconds.
  */
-export class RegionParts {
+export class RegionShares {
   /** Share of the requests that goes to each region. */
   private parts: Map<string, number>
-  private movedAt: number | undefined
+  private lastStepAt: number | undefined
   private isMoving = false
 
   /** @param shiftPart share of the requests that may change their region from one window to the next */
-  constructor (private readonly own: string, private readonly shiftPart: number) {
-    this.parts = new Map([[own, 1]])
+  constructor (private readonly ownRegion: string, private readonly shiftPart: number) {
+    this.parts = new Map([[ownRegion, 1]])
   }
 
   /** Takes over shares unchanged, from a peer or from the first plan. */
-  adopt (parts: ReadonlyMap<string, number>, now: number): void {
-    this.parts = new Map(parts)
-    this.movedAt = now
+  adopt (shares: ReadonlyMap<string, number>, now: number): void {
+    this.parts = new Map(shares)
+    this.lastStepAt = now
   }
 
-  get isPlanned (): boolean {
-    return this.movedAt !== undefined
+  get hasPlan (): boolean {
+    return this.lastStepAt !== undefined
   }
 
-  getParts (): ReadonlyMap<string, number> {
+  getShares (): ReadonlyMap<string, number> {
     return this.parts
   }
 
   /** Moves the shares towards a plan, as far as the bound allows for the time since the last step. */
   moveTowards (plan: ReadonlyMap<string, number>, now: number): void {
-    const elapsedMs = Math.min(SHIFT_WINDOW_MS / 4, now - (this.movedAt ?? now))
-    this.movedAt = now
+    const elapsedMs = Math.min(SHIFT_WINDOW_MS / 4, now - (this.lastStepAt ?? now))
+    this.lastStepAt = now
     const regions = new Set([...this.parts.keys(), ...plan.keys()])
     const gaps = [...regions].map((region) => ({ region, gap: (plan.get(region) ?? 0) - (this.parts.get(region) ?? 0) }))
     const change = gaps.reduce((sum, { gap }) => sum + Math.max(0, gap), 0)
-    this.isMoving = change > (this.isMoving ? MOVE_TO : MOVE_FROM)
+    this.isMoving = change > (this.isMoving ? MIN_DIFFERENCE_TO_CONTINUE : MIN_DIFFERENCE_TO_START)
     if (!this.isMoving) return
-    const step = Math.min(1, this.shiftPart * USED_PART * elapsedMs / SHIFT_WINDOW_MS / change)
+    const step = Math.min(1, this.shiftPart * PLANNED_SHIFT_SHARE * elapsedMs / SHIFT_WINDOW_MS / change)
     for (const { region, gap } of gaps) this.parts.set(region, (this.parts.get(region) ?? 0) + gap * step)
   }
 
   /** Finds the home region of a key by rendezvous hashing weighted with the shares, so that a step moves as few keys as possible. */
-  findRegion (keyHash: number): string {
-    let best = this.own
+  findHomeRegion (keyHash: number): string {
+    let best = this.ownRegion
     let bestScore = -Infinity
-    for (const [region, part] of this.parts) {
-      const chance = (computePairHash(computeHash(`region ${region}`), keyHash) + 1) / (HASH_RANGE + 1)
-      const score = part / -Math.log(chance)
-      if (part <= 0 || score <= bestScore) continue
+    for (const [region, share] of this.parts) {
+      const uniform = (computePairHash(computeHash(`region ${region}`), keyHash) + 1) / (HASH_RANGE + 1)
+      const score = share / -Math.log(uniform)
+      if (share <= 0 || score <= bestScore) continue
       best = region
       bestScore = score
     }
--- a/packages/almondrelay-gateway/src/request/retryAllowance.ts
+++ b/packages/almondrelay-gateway/src/request/retryAllowance.ts
@@ -1,10 +1,10 @@
-import { SlidingCount } from './slidingCount.js'
+import { SlidingWindowCounter } from './slidingWindowCounter.js'
 
 /**
  * Share of the operators' bound that is used: hosts may see different fleets, and the bound holds for windows that begin at any
  * time.
  */
-const USED_PART = 0.7
+const USED_BOUND_SHARE = 0.7
 
 interface RetryBound {
   /** Retries allowed for each request of the service. */
@@ -23,12 +23,12 @@
  * fleet uses none of them.
  */
 export class RetryAllowance {
-  private readonly requests: SlidingCount
-  private readonly repeats: SlidingCount
+  private readonly requests: SlidingWindowCounter
+  private readonly retries: SlidingWindowCounter
 
   constructor (private readonly bound: RetryBound) {
-    this.requests = new SlidingCount(bound.windowMs)
-    this.repeats = new SlidingCount(bound.windowMs)
+    this.requests = new SlidingWindowCounter(bound.windowMs)
+    this.retries = new SlidingWindowCounter(bound.windowMs)
   }
 
   observeRequest (now: number): void {
@@ -37,15 +37,15 @@
 
   /** @param hosts number of live hosts; undefined while it is unknown */
   allow (now: number, hosts: number | undefined): boolean {
-    const fixedPart = hosts === undefined ? 0 : this.bound.extra / hosts
-    const allowed = (this.requests.count(now) * this.bound.ratio + fixedPart) * USED_PART
-    return this.repeats.count(now) + 1 <= allowed
+    const extraShare = hosts === undefined ? 0 : this.bound.extra / hosts
+    const allowed = (this.requests.count(now) * this.bound.ratio + extraShare) * USED_BOUND_SHARE
+    return this.retries.count(now) + 1 <= allowed
   }
 
   /** Uses one retry; returns false where none is left. */
   use (now: number, hosts: number | undefined): boolean {
     if (!this.allow(now, hosts)) return false
-    this.repeats.add(now)
+    this.retries.add(now)
     return true
   }
 }
--- a/packages/almondrelay-gateway/src/request/shiftCapUse.ts
+++ b/packages/almondrelay-gateway/src/request/shiftCapUsage.ts
@@ -7,15 +7,15 @@
  * divided evenly among the region's hosts, without messages between them, so that the sum holds also while they don't receive
  * each other's reports; a host that doesn't know the fleet sends nothing under a cap.
  */
-export class ShiftCapUse {
+export class ShiftCapUsage {
   /** Number of running requests, by region and service. */
   private readonly running = new Map<string, Map<string, number>>()
 
   /** @param hosts number of hosts of this region that may send; undefined while it is unknown */
   allow (steering: DeclaredSteering, service: string, region: string, hosts: number | undefined): boolean {
     return steering.listCaps(service, region).every((cap) => {
-      const part = hosts === undefined ? 0 : Math.floor(cap.maxInFlight / hosts)
-      return this.countRunning(region, cap.service) < part
+      const ownShare = hosts === undefined ? 0 : Math.floor(cap.maxInFlight / hosts)
+      return this.countRunning(region, cap.service) < ownShare
     })
   }
 
--- a/packages/almondrelay-gateway/src/request/slidingCount.ts
+++ b/packages/almondrelay-gateway/src/request/slidingWindowCounter.ts
@@ -1,18 +1,18 @@
 /** Number of buckets into which a window is divided; a count may lag by one bucket. */
-const PARTS = 20
+const BUCKETS = 20
 
 /** Counts events within a sliding window of monotonic time. */
-export class SlidingCount {
-  private readonly counts = new Array<number>(PARTS + 1).fill(0)
-  private readonly partMs: number
+export class SlidingWindowCounter {
+  private readonly counts = new Array<number>(BUCKETS + 1).fill(0)
+  private readonly bucketMs: number
   private head = 0
-  private headPart = 0
+  private headBucket = 0
   /** Sum of all buckets, so that a count doesn't have to add them up. */
   private sum = 0
 
   /** @param windowMs length of the window in milliseconds */
   constructor (windowMs: number) {
-    this.partMs = windowMs / PARTS
+    this.bucketMs = windowMs / BUCKETS
   }
 
   add (now: number, amount = 1): void {
@@ -24,9 +24,9 @@
   /** Takes back an event that was counted at an earlier time; does nothing where the window has moved past that time. */
   remove (at: number, now: number): void {
     this.advance(now)
-    const parts = this.headPart - Math.floor(at / this.partMs)
-    if (parts < 0 || parts > PARTS) return
-    const index = (this.head - parts + PARTS + 1) % (PARTS + 1)
+    const bucketsBack = this.headBucket - Math.floor(at / this.bucketMs)
+    if (bucketsBack < 0 || bucketsBack > BUCKETS) return
+    const index = (this.head - bucketsBack + BUCKETS + 1) % (BUCKETS + 1)
     this.counts[index] = (this.counts[index] ?? 0) - 1
     this.sum -= 1
   }
@@ -44,26 +44,26 @@
    */
   estimate (now: number, spanMs: number): number {
     this.advance(now)
-    const parts = Math.min(PARTS, Math.round(spanMs / this.partMs))
-    const elapsed = now / this.partMs - this.headPart
-    let events = this.getCount(parts) * (1 - elapsed)
-    for (let back = 0; back < parts; back += 1) events += this.getCount(back)
+    const wholeBuckets = Math.min(BUCKETS, Math.round(spanMs / this.bucketMs))
+    const elapsed = now / this.bucketMs - this.headBucket
+    let events = this.getBucketCount(wholeBuckets) * (1 - elapsed)
+    for (let back = 0; back < wholeBuckets; back += 1) events += this.getBucketCount(back)
     return events
   }
 
   /** @param back number of buckets before the current one */
-  private getCount (back: number): number {
-    return this.counts[(this.head - back + PARTS + 1) % (PARTS + 1)] ?? 0
+  private getBucketCount (back: number): number {
+    return this.counts[(this.head - back + BUCKETS + 1) % (BUCKETS + 1)] ?? 0
   }
 
   private advance (now: number): void {
-    const part = Math.floor(now / this.partMs)
-    const steps = Math.min(PARTS + 1, part - this.headPart)
+    const bucket = Math.floor(now / this.bucketMs)
+    const steps = Math.min(BUCKETS + 1, bucket - this.headBucket)
     for (let step = 0; step < steps; step += 1) {
-      this.head = (this.head + 1) % (PARTS + 1)
+      this.head = (this.head + 1) % (BUCKETS + 1)
       this.sum -= this.counts[this.head] ?? 0
       this.counts[this.head] = 0
     }
-    if (part > this.headPart) this.headPart = part
+    if (bucket > this.headBucket) this.headBucket = bucket
   }
 }
--- a/packages/almondrelay-gateway/src/request/awayAllowance.ts
+++ b/packages/almondrelay-gateway/src/request/spillAllowance.ts
@@ -1,7 +1,7 @@
 /** Share of the operators' bound on shifts between regions that spilled requests may use; planned steps use most of the rest. */
-const USED_PART = 0.45
+const SPILL_SHARE = 0.45
 /** Maximum number of requests that may spill at once. */
-const BURST = 3
+const MAX_BURST_REQUESTS = 3
 
 /**
  * Limits how many requests may leave their key's home region unplanned, because another region would answer sooner at the moment.
@@ -9,14 +9,14 @@
  * Spilling a few requests keeps them out of a short queue. Spilling all of them at once would flood another region and exceed the
  * operators' bound on shifts. Implemented as a token bucket: each request of the service adds a fraction of a token.
  */
-export class AwayAllowance {
-  private tokens = BURST
+export class SpillAllowance {
+  private tokens = MAX_BURST_REQUESTS
 
   /** @param shiftPart the operators' bound: share of the requests that may change their region from one window to the next */
   constructor (private readonly shiftPart: number) {}
 
   observeRequest (): void {
-    this.tokens = Math.min(BURST, this.tokens + this.shiftPart * USED_PART)
+    this.tokens = Math.min(MAX_BURST_REQUESTS, this.tokens + this.shiftPart * SPILL_SHARE)
   }
 
   allow (): boolean {
--- a/packages/almondrelay-gateway/src/request/targetAnswerHead.ts
+++ b/packages/almondrelay-gateway/src/request/targetAnswerHead.ts
@@ -14,7 +14,7 @@
   /** Milliseconds for which the target keeps an idle connection open; undefined where it doesn't say. */
   keepAliveMs: number | undefined
   /** The target closes the connection after this answer. */
-  isLast: boolean
+  closesConnection: boolean
   /** Requests that run and that wait at the target; undefined where it doesn't report them. */
   load: { running: number, waiting: number } | undefined
   /** Milliseconds for which the target says that it stays cold; undefined where it doesn't say. */
--- a/packages/almondrelay-gateway/src/request/targetChoice.ts
+++ b/packages/almondrelay-gateway/src/request/targetChoice.ts
@@ -10,11 +10,11 @@
   /** Components of `expectedMs`: the work itself, the wait in the queue, and the round trip. */
   workMs: number
   waitMs: number
-  tripMs: number
+  roundTripMs: number
   /** Position of the target in the key's order; 0 is the preferred target. */
   rank: number
   /** Requests at the target from all hosts, as far as known. */
   outstanding: number
   /** Whether the target is assumed to have the object cached, as this host recently had it work on the object. */
-  isWarm: boolean
+  isCached: boolean
 }
--- a/packages/almondrelay-gateway/src/request/targetState.ts
+++ b/packages/almondrelay-gateway/src/request/targetState.ts
@@ -3,17 +3,17 @@
 import { WarmKeys } from './warmKeys.js'
 
 /** Weight of one answer in the estimate of a target's slowness: about the last ten answers count. */
-const SPEED_GAIN = 0.1
+const SLOWNESS_GAIN = 0.1
 /** Weight of one answer in the share of failures: a target that refuses half of its requests is detected after four answers. */
 const FAILURE_GAIN = 0.15
 /** Half-life, in milliseconds, of the recorded slowness and failures of a target, so that a target without requests is tried again. */
-const FORGIVING_HALF_LIFE_MS = 2_000
+const HISTORY_HALF_LIFE_MS = 2_000
 /** Bounds of the ratio between a target's measured and expected time; a ratio beyond them carries no more information. */
-const SLOWEST_RATIO = 20
-const FASTEST_RATIO = 0.7
+const MAX_SLOWNESS = 20
+const MIN_SLOWNESS = 0.7
 /** Milliseconds for which a target isn't used after a failed connection, doubled with each further failure, and their maximum. */
-const FIRST_PAUSE_MS = 300
-const LONGEST_PAUSE_MS = 2_000
+const FIRST_SUSPENSION_MS = 300
+const MAX_SUSPENSION_MS = 2_000
 /**
  * Milliseconds after a target was cold in which it is assumed to have none of its objects cached. A quarter of the requests for
  * these objects goes there in that time, so an object that is requested once a second is worked on there before it gets all of
@@ -35,10 +35,10 @@
   /** Requests of this host that are at the target now. */
   inFlight = 0
   readonly warmKeys = new WarmKeys()
-  private readonly peerCounts = new Map<string, { count: number, heardAt: number }>()
-  private speedRatio = 1
+  private readonly peerCounts = new Map<string, { count: number, receivedAt: number }>()
+  private slowness = 1
   private failureShare = 0
-  private judgedAt = 0
+  private decayedAt = 0
   private suspendedUntil = 0
   private suspensions = 0
   private coldUntil = -Infinity
@@ -85,56 +85,56 @@
   /** Counts the requests at the target from this host and from all peers whose counts are recent. */
   countOutstanding (now: number): number {
     let sum = this.inFlight
-    for (const { count, heardAt } of this.peerCounts.values()) {
-      if (now - heardAt <= PEER_COUNT_MAX_AGE_MS) sum += count
+    for (const { count, receivedAt: receivedAt } of this.peerCounts.values()) {
+      if (now - receivedAt <= PEER_COUNT_MAX_AGE_MS) sum += count
     }
     return sum
   }
 
-  hearPeerCount (host: string, count: number, now: number): void {
+  receivePeerCount (host: string, count: number, now: number): void {
     if (count === 0) this.peerCounts.delete(host)
-    else this.peerCounts.set(host, { count, heardAt: now })
+    else this.peerCounts.set(host, { count, receivedAt: now })
   }
 
   /** @param ratio measured time divided by the expected time */
   observeAnswer (ratio: number, now: number): void {
-    this.expireJudgement(now)
+    this.applyDecay(now)
     this.suspensions = 0
     this.suspendedUntil = 0
-    const bounded = Math.min(SLOWEST_RATIO, Math.max(FASTEST_RATIO, ratio))
-    this.speedRatio += (bounded - this.speedRatio) * SPEED_GAIN
+    const bounded = Math.min(MAX_SLOWNESS, Math.max(MIN_SLOWNESS, ratio))
+    this.slowness += (bounded - this.slowness) * SLOWNESS_GAIN
     this.failureShare *= 1 - FAILURE_GAIN
   }
 
   /** Records a refusal or a failed answer. */
   observeFailure (now: number): void {
-    this.expireJudgement(now)
+    this.applyDecay(now)
     this.failureShare += (1 - this.failureShare) * FAILURE_GAIN
   }
 
   /** Records that a connection failed or stopped responding: the target gets no requests for a while and is then tried again. */
   suspend (now: number): void {
-    const pauseMs = Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * 2 ** this.suspensions)
+    const suspensionMs = Math.min(MAX_SUSPENSION_MS, FIRST_SUSPENSION_MS * 2 ** this.suspensions)
     this.suspensions += 1
-    this.suspendedUntil = now + pauseMs
+    this.suspendedUntil = now + suspensionMs
   }
 
-  getSpeedRatio (now: number): number {
-    return 1 + (this.speedRatio - 1) * this.computeMemory(now)
+  getSlowness (now: number): number {
+    return 1 + (this.slowness - 1) * this.computeDecay(now)
   }
 
   getFailureShare (now: number): number {
-    return this.failureShare * this.computeMemory(now)
+    return this.failureShare * this.computeDecay(now)
   }
 
-  private expireJudgement (now: number): void {
-    const memory = this.computeMemory(now)
-    this.speedRatio = 1 + (this.speedRatio - 1) * memory
-    this.failureShare *= memory
-    this.judgedAt = now
+  private applyDecay (now: number): void {
+    const decay = this.computeDecay(now)
+    this.slowness = 1 + (this.slowness - 1) * decay
+    this.failureShare *= decay
+    this.decayedAt = now
   }
 
-  private computeMemory (now: number): number {
-    return 0.5 ** (Math.max(0, now - this.judgedAt) / FORGIVING_HALF_LIFE_MS)
+  private computeDecay (now: number): number {
+    return 0.5 ** (Math.max(0, now - this.decayedAt) / HISTORY_HALF_LIFE_MS)
   }
 }
--- a/packages/almondrelay-gateway/src/request/warmKeys.ts
+++ b/packages/almondrelay-gateway/src/request/warmKeys.ts
@@ -1,5 +1,5 @@
 /** Number of objects that a target is assumed to remember; targets remember a bounded number and don't report it. */
-const MOST_KEYS = 48
+const MAX_KEYS = 48
 
 /** Hashes of the keys of the objects that this host recently had a target work on; the oldest is evicted first. */
 export class WarmKeys {
@@ -8,7 +8,7 @@
   add (keyHash: number): void {
     this.keys.delete(keyHash)
     this.keys.add(keyHash)
-    if (this.keys.size <= MOST_KEYS) return
+    if (this.keys.size <= MAX_KEYS) return
     const [oldest] = this.keys
     if (oldest !== undefined) this.keys.delete(oldest)
   }
--- a/packages/almondrelay-gateway/src/testing.ts
+++ b/packages/almondrelay-gateway/src/testing.ts
@@ -1,8 +1,8 @@
 /** Exports for the measurements and stand-ins of this repository; no daemon uses them. */
-export { AwayAllowance } from './request/awayAllowance.js'
+export { SpillAllowance } from './request/spillAllowance.js'
 export { chooseTarget } from './request/chooseTarget.js'
 export { decideAdmission } from './request/decideAdmission.js'
-export { RegionParts } from './request/regionParts.js'
+export { RegionShares } from './request/regionShares.js'
 export { ServiceTimes } from './request/serviceTimes.js'
 export type { TargetChoice } from './request/targetChoice.js'
 export { TargetState } from './request/targetState.js'
--- a/packages/almondrelay-gateway/src/version/__tests__/identifyCaller.test.ts
+++ b/packages/almondrelay-gateway/src/version/__tests__/identifyCaller.test.ts
@@ -28,9 +28,9 @@
 
 test('the rank of the organisation takes precedence over that of the route', () => {
   const ranks = [[clinic, 0], [clinic, 1], [school, 0], [school, 1]] as const
-  const patience = ranks.map(([organisation, route]) => table.computePatience(organisation, route))
+  const patience = ranks.map(([organisation, route]) => table.computeRelativePriority(organisation, route))
   assert.equal(patience, [0, 0.5, 0.5, 1])
-  assert.is(table.computePatience(undefined, 0.3), 0.3)
+  assert.is(table.computeRelativePriority(undefined, 0.3), 0.3)
 })
 
 test('the regions of route and organisation both bind', () => {
--- a/packages/almondrelay-gateway/src/version/declaredSteering.ts
+++ b/packages/almondrelay-gateway/src/version/declaredSteering.ts
@@ -16,7 +16,7 @@
   maxInFlight: number
 }
 
-interface PlacedTarget {
+interface TargetLocation {
   id: string
   service: string
   availabilityZone: string
@@ -54,7 +54,7 @@
    * Whether a target gets no new requests because it or its availability zone is drained. The drain of a region takes effect in
    * steps, through the shares of the regions.
    */
-  isDrained ({ id, service, availabilityZone }: PlacedTarget): boolean {
+  isDrained ({ id, service, availabilityZone }: TargetLocation): boolean {
     if (this.drained.size === 0) return false
     return this.drained.has(makeDrainKey('availabilityZone', availabilityZone)) || this.drained.has(makeDrainKey('target', id, service))
   }
--- a/packages/almondrelay-gateway/src/version/identifyCaller.ts
+++ b/packages/almondrelay-gateway/src/version/identifyCaller.ts
@@ -8,7 +8,7 @@
  * @param key what the caller sent to identify itself; undefined where it sent nothing usable
  */
 export function identifyCaller (organisations: OrganisationTable, key: string | undefined, route: Pick<Route, 'isOpen'>): CallerIdentity {
-  if (!organisations.areKeysNeeded) return { kind: 'unchecked' }
+  if (!organisations.requiresKeys) return { kind: 'unchecked' }
   const organisation = key === undefined ? undefined : organisations.findByKey(key)
   if (organisation !== undefined) return { kind: 'organisation', organisation }
   return route.isOpen ? { kind: 'anonymous' } : { kind: 'unknown' }
--- a/packages/almondrelay-gateway/src/version/organisationTable.ts
+++ b/packages/almondrelay-gateway/src/version/organisationTable.ts
@@ -3,18 +3,18 @@
 /** Organisations of one configuration version, indexed by key. */
 export class OrganisationTable {
   private readonly byKey = new Map<string, Organisation>()
-  private readonly lastPriority: number
+  private readonly maxPriority: number
 
   /** @param organisations undefined where the operators declare none, so that callers need no key */
   constructor (private readonly organisations: readonly Organisation[] | undefined) {
-    this.lastPriority = (organisations ?? []).reduce((last, { priority }) => Math.max(last, priority), 0)
+    this.maxPriority = (organisations ?? []).reduce((last, { priority }) => Math.max(last, priority), 0)
     for (const organisation of organisations ?? []) {
       for (const key of organisation.keys) this.byKey.set(key, organisation)
     }
   }
 
   /** Whether callers must identify themselves. */
-  get areKeysNeeded (): boolean {
+  get requiresKeys (): boolean {
     return this.organisations !== undefined
   }
 
@@ -33,8 +33,8 @@
    *
    * @param relativeRoutePriority the priority of the request's route relative to all routes
    */
-  computePatience (organisation: Organisation | undefined, routePatience: number): number {
-    if (organisation === undefined) return routePatience
-    return (organisation.priority + routePatience) / (this.lastPriority + 1)
+  computeRelativePriority (organisation: Organisation | undefined, relativeRoutePriority: number): number {
+    if (organisation === undefined) return relativeRoutePriority
+    return (organisation.priority + relativeRoutePriority) / (this.maxPriority + 1)
   }
 }
--- a/packages/almondrelay-gateway/src/version/routeTable.ts
+++ b/packages/almondrelay-gateway/src/version/routeTable.ts
@@ -3,10 +3,10 @@
 /** Routes of one configuration version, indexed by host name and path prefix. */
 export class RouteTable {
   private readonly prefixesByHost = new Map<string, Map<string, Route>>()
-  private readonly lastPriority: number
+  private readonly maxPriority: number
 
   constructor (routes: readonly Route[]) {
-    this.lastPriority = routes.reduce((last, { priority }) => Math.max(last, priority), 0)
+    this.maxPriority = routes.reduce((last, { priority }) => Math.max(last, priority), 0)
     for (const route of routes) {
       const prefixes = this.prefixesByHost.get(route.hostName) ?? new Map<string, Route>()
       prefixes.set(route.pathPrefix, route)
@@ -15,8 +15,8 @@
   }
 
   /** Computes the priority of a route relative to all routes: 0 for the most urgent, 1 for the least urgent. */
-  computePatience ({ priority }: Route): number {
-    return this.lastPriority === 0 ? 0 : priority / this.lastPriority
+  computeRelativePriority ({ priority }: Route): number {
+    return this.maxPriority === 0 ? 0 : priority / this.maxPriority
   }
 
   /**
--- a/packages/almondrelay-stand-ins/src/capacity/measureForwarding.ts
+++ b/packages/almondrelay-stand-ins/src/capacity/measureForwarding.ts
@@ -44,15 +44,15 @@
         now: 0,
         keyHash: Math.imul(decision, 0x9e3779b1) >>> 0,
         homeRegion: 'akl',
-        findTripMs: () => 2,
+        findRoundTripMs: () => 2,
         warmMs: 100,
         coldMs: 300,
         meanMs: 120,
         targetLatencyMs: 250,
         isEligible: () => true,
         allowCold: () => false,
-        warmsUp: false,
-        allowAway: true
+        isWarmUpRequest: false,
+        canSpill: true
       })
     }
   }) / DECISIONS * US_PER_MS
