--- a/packages/almondrelay-experiment/src/steering/productWay.ts
+++ b/packages/almondrelay-experiment/src/steering/productWay.ts
@@ -1,4 +1,4 @@
-import { SpillAllowance, chooseTarget, decideAdmission, makeTarget, planRegionParts, RegionShares, ServiceTimes, type RegionDemand, type TargetChoice, type TargetState } from 'almondrelay-gateway/testing'
+import { SpillAllowance, chooseTarget, decideAdmission, makeTarget, planRegionShares, RegionShares, ServiceTimes, type RegionDemand, type TargetChoice, type TargetState } from 'almondrelay-gateway/testing'
 import { deployment } from '../model/deployment.js'
 import type { ModelRequest } from '../model/modelRequest.js'
 import type { KnownTarget } from './knownTarget.js'
@@ -71,7 +71,7 @@
     }
     if (!this.options.movesRegions) return
     const demands = [this.describeDemand(now), ...others.map((peer) => peer.describeDemand(now))]
-    this.parts.moveTowards(planRegionParts({ ownRegion: this.region, regions: deployment.regions, demands, targets: this.targets, tripMs: deployment.tripFarMs, current: this.parts.getShares() }, now), now)
+    this.parts.moveTowards(planRegionShares({ ownRegion: this.region, regions: deployment.regions, demands, targets: this.targets, roundTripMs: deployment.tripFarMs, current: this.parts.getShares() }, now), now)
   }
 
   override countAt (targetId: string): number {
--- a/packages/almondrelay-gateway/src/process/forward/untriedRefusal.ts
+++ b/packages/almondrelay-gateway/src/process/forward/earlyRefusal.ts
@@ -1,7 +1,7 @@
 import type { RefusalReason } from 'almondrelay'
 
 /** Refusal of a request before a target is chosen. */
-export interface UntriedRefusal {
+export interface EarlyRefusal {
   /** Milliseconds after which the caller may retry. */
   retryAfterMs: number
   cause: RefusalReason
--- a/packages/almondrelay-gateway/src/process/forward/forwardState.ts
+++ b/packages/almondrelay-gateway/src/process/forward/forwardState.ts
@@ -10,8 +10,8 @@
 import type { GatewaySettings } from '../settings/gatewaySettings.js'
 import { ServiceRuntime } from './serviceRuntime.js'
 import { TargetPools } from './targetPools.js'
-import { TargetProbes } from './targetProbes.js'
-import { TripTimes } from './tripTimes.js'
+import { TargetProber } from './targetProber.js'
+import { RoundTripTimes } from './roundTripTimes.js'
 
 interface ForwardParts {
   settings: GatewaySettings
@@ -32,22 +32,22 @@
 /** State that all requests of a host share. */
 export class ForwardState {
   readonly fleet: FleetState
-  readonly trips: TripTimes
+  readonly roundTripTimes: RoundTripTimes
   readonly pools: TargetPools
-  readonly probes: TargetProbes
-  readonly shiftCaps = new ShiftCapUsage()
+  readonly prober: TargetProber
+  readonly shiftCapUsage = new ShiftCapUsage()
   /** Operators' declarations, of the newest revision that this host knows. */
   steering = DeclaredSteering.none
-  private readonly cold: ColdAllowance
+  private readonly coldAllowance: ColdAllowance
   private readonly runtimes = new Map<string, ServiceRuntime>()
 
   constructor (private readonly parts: ForwardParts) {
     const { settings, fleet, codec, memory, getNow, signal } = parts
     this.fleet = fleet
-    this.trips = new TripTimes(settings.host.region)
-    this.pools = new TargetPools({ codec, getNow, memory }, this.trips, parts)
-    this.probes = new TargetProbes(this.pools, this.trips, signal)
-    this.cold = new ColdAllowance(settings.host.name)
+    this.roundTripTimes = new RoundTripTimes(settings.host.region)
+    this.pools = new TargetPools({ codec, getNow, memory }, this.roundTripTimes, parts)
+    this.prober = new TargetProber(this.pools, this.roundTripTimes, signal)
+    this.coldAllowance = new ColdAllowance(settings.host.name)
   }
 
   getRuntime (service: string): ServiceRuntime {
@@ -76,7 +76,7 @@
   /** Whether the shift caps allow a request for a service to run in a region. */
   allowRegion (service: string, region: string): boolean {
     if (region === this.ownRegion || this.steering.caps.length === 0) return true
-    return this.shiftCaps.allow(this.steering, service, region, this.parts.peers.countRegionHosts())
+    return this.shiftCapUsage.allow(this.steering, service, region, this.parts.peers.countRegionHosts())
   }
 
   countHosts (): number | undefined {
@@ -85,22 +85,22 @@
 
   allowCold (target: TargetState, now: number): boolean {
     const perSecond = this.fleet.findService(target.entry.service)?.coldPerSecond ?? 0
-    return this.cold.allow(target, perSecond, this.parts.peers.listSenders(target.entry.region, now), now)
+    return this.coldAllowance.allow(target, perSecond, this.parts.peers.listSenders(target.entry.region, now), now)
   }
 
   observeColdSend (target: TargetState, now: number): void {
-    this.cold.observeSend(target, this.fleet.findService(target.entry.service)?.coldPerSecond ?? 1, now)
+    this.coldAllowance.observeSend(target, this.fleet.findService(target.entry.service)?.coldPerSecond ?? 1, now)
   }
 
   /** Stops sending requests to a target that takes no new ones; those that it is running continue. */
   dropTarget (targetId: string): void {
-    this.cold.drop(targetId)
+    this.coldAllowance.drop(targetId)
     this.pools.remove(targetId)
   }
 
   /** Aborts the requests at a target that was restarted: its previous incarnation will never answer them. */
   abortTarget (targetId: string): void {
-    this.cold.drop(targetId)
+    this.coldAllowance.drop(targetId)
     this.pools.abort(targetId)
   }
 }
--- a/packages/almondrelay-gateway/src/process/forward/loadSampler.ts
+++ b/packages/almondrelay-gateway/src/process/forward/loadSampler.ts
@@ -5,7 +5,7 @@
 import type { GatewayMetrics } from '../observe/gatewayMetrics.js'
 
 /** Milliseconds between two measurements of this host's delay. */
-const SAMPLE_MS = 50
+const SAMPLE_INTERVAL_MS = 50
 
 interface SamplerParts {
   load: HostLoad
@@ -18,8 +18,8 @@
 /** Measures until the signal aborts how late a timer of this host fires and how long requests wait for their turn. */
 export async function runLoadSampler ({ load, turns, log, metrics, getNow }: SamplerParts, signal: AbortSignal): Promise<void> {
   while (!signal.aborted) {
-    const dueAt = getNow() + SAMPLE_MS
-    await sleepFor(SAMPLE_MS, signal)
+    const dueAt = getNow() + SAMPLE_INTERVAL_MS
+    await sleepFor(SAMPLE_INTERVAL_MS, signal)
     const now = getNow()
     const delayMs = Math.max(0, now - dueAt, turns.computeDelay(now))
     metrics.observeDelay(delayMs)
--- a/packages/almondrelay-gateway/src/process/forward/regionPlanner.ts
+++ b/packages/almondrelay-gateway/src/process/forward/regionPlanner.ts
@@ -1,16 +1,16 @@
 import { sleepFor } from 'almondrelay'
 import type { PeerView } from '../peers/peerView.js'
 import type { ForwardState } from './forwardState.js'
-import { estimateFirstDemands } from './estimateFirstDemands.js'
+import { estimateInitialDemands } from './estimateInitialDemands.js'
 import { computeMeanTimes } from '../peers/computeMeanTimes.js'
 import type { RegionDemand } from '../peers/regionDemand.js'
 import { planDeclaredShares } from '../../request/planDeclaredShares.js'
-import { planRegionParts } from './planRegionParts.js'
+import { planRegionShares } from './planRegionShares.js'
 import type { ServiceRuntime } from './serviceRuntime.js'
 import { sumBusySlots } from './sumBusySlots.js'
 
 /** Milliseconds between two updates of the shares; peers report their demand once a second. */
-const STEP_MS = 500
+const PLAN_INTERVAL_MS = 500
 
 interface PlannerParts {
   ownRegion: string
@@ -26,8 +26,8 @@
 
   async run (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await sleepFor(STEP_MS, signal)
-      this.advanceAll(this.parts.getNow())
+      await sleepFor(PLAN_INTERVAL_MS, signal)
+      this.updateAll(this.parts.getNow())
     }
   }
 
@@ -38,23 +38,23 @@
     if (peer !== undefined) {
       // A host that joins a running region adopts the shares of its peers: a plan from scratch would undo for its own callers what
       // the region has moved so far.
-      runtime.regionParts.adopt(peer.demand.parts, now)
+      runtime.regionShares.adopt(peer.demand.parts, now)
       return
     }
     const slots = forward.fleet.listTargets(runtime.name).reduce((sum, target) => sum + target.entry.slots, 0)
-    runtime.regionParts.adopt(this.plan(runtime, estimateFirstDemands(runtime.name, view.listLive(now), slots), now), now)
+    runtime.regionShares.adopt(this.plan(runtime, estimateInitialDemands(runtime.name, view.listLive(now), slots), now), now)
   }
 
-  private advanceAll (now: number): void {
+  private updateAll (now: number): void {
     const { ownRegion, forward, view } = this.parts
     const demands = splitByService(view.listDemands(now))
     for (const runtime of forward.listRuntimes()) {
-      const others = demands.get(runtime.name) ?? []
-      const near = others.filter(({ region, demand }) => region === ownRegion && demand.perSecond > 0).map(({ demand }) => demand)
-      if (near.length > 0) runtime.times.receiveRegionTimes(computeMeanTimes(near))
-      const own = { region: ownRegion, demand: runtime.describeDemand(now) }
-      const plan = this.plan(runtime, [own, ...others], now)
-      runtime.regionParts.moveTowards(plan, now)
+      const peerDemands = demands.get(runtime.name) ?? []
+      const ownRegionDemands = peerDemands.filter(({ region, demand }) => region === ownRegion && demand.perSecond > 0).map(({ demand }) => demand)
+      if (ownRegionDemands.length > 0) runtime.times.receiveRegionTimes(computeMeanTimes(ownRegionDemands))
+      const ownDemand = { region: ownRegion, demand: runtime.describeDemand(now) }
+      const plan = this.plan(runtime, [ownDemand, ...peerDemands], now)
+      runtime.regionShares.moveTowards(plan, now)
     }
   }
 
@@ -62,9 +62,9 @@
     const { ownRegion, regions, forward } = this.parts
     const { fleet, steering } = forward
     const targets = fleet.listTargets(runtime.name).filter(({ entry }) => !fleet.isEvacuated(entry.availabilityZone) && !steering.isDrained(entry) && !steering.isRegionDrained(entry.region))
-    const tripMs = Math.min(...regions.filter((region) => region !== ownRegion).map((region) => forward.trips.find(region)))
-    const current = runtime.regionParts.hasPlan ? runtime.regionParts.getShares() : undefined
-    const byLoad = planRegionParts({ ownRegion, regions, demands, targets, tripMs, current }, now)
+    const roundTripMs = Math.min(...regions.filter((region) => region !== ownRegion).map((region) => forward.roundTripTimes.find(region)))
+    const current = runtime.regionShares.hasPlan ? runtime.regionShares.getShares() : undefined
+    const byLoad = planRegionShares({ ownRegion, regions, demands, targets, roundTripMs: roundTripMs, current }, now)
     const ownBusySlots = sumBusySlots(demands, ownRegion)
     return planDeclaredShares({ service: runtime.name, ownRegion, regions, sharesByLoad: byLoad, steering, ownBusySlots })
   }
--- a/packages/almondrelay-gateway/src/process/forward/requestHandler.ts
+++ b/packages/almondrelay-gateway/src/process/forward/requestHandler.ts
@@ -33,10 +33,10 @@
  * Milliseconds after the host's start for which requests wait for its first configuration. After that the store is considered
  * unavailable, and requests are refused.
  */
-const STARTING_MS = 600
+const FIRST_CONFIGURATION_TIMEOUT_MS = 600
 const HASH_RANGE = 2 ** 32
 /** Share of a key's requests that goes to its preferred target while that target is warming up. */
-const WARM_UP_PART = 0.25
+const WARM_UP_SHARE = 0.25
 
 interface HandlerParts {
   callerCodec: CallerCodec
@@ -65,7 +65,7 @@
   identity: CallerIdentity
   arrivedAt: number
   /** Aborts when the caller disconnects. */
-  left: AbortSignal
+  callerLeft: AbortSignal
 }
 
 interface ServedRequest {
@@ -89,64 +89,64 @@
   }
 
   /** @param readAt monotonic milliseconds at which the request's head was read */
-  async handle (message: IncomingMessage, left: AbortSignal, readAt: number): Promise<CallerAnswer | undefined> {
+  async handle (message: IncomingMessage, callerLeft: AbortSignal, readAt: number): Promise<CallerAnswer | undefined> {
     const { load, getNow } = this.parts
     // The caller's time limit began when its request arrived, which was before this host read it.
     const arrivedAt = Math.min(readAt, getNow() - load.readDelay)
     const head = this.parts.callerCodec.decodeHead(message)
     const { fleet } = this.parts.forward
-    if (fleet.configuration === undefined) await fleet.waitForConfiguration(this.parts.startedAt + STARTING_MS - getNow())
-    if (left.aborted) return undefined
+    if (fleet.configuration === undefined) await fleet.waitForConfiguration(this.parts.startedAt + FIRST_CONFIGURATION_TIMEOUT_MS - getNow())
+    if (callerLeft.aborted) return undefined
     const { configuration, routes, organisations } = fleet
-    if (configuration === undefined) return this.refuser.refuseUnready(head)
+    if (configuration === undefined) return this.refuser.refuseUnconfigured(head)
     const route = routes.findRoute(getHostName(message), getPath(message))
     if (route === undefined) return this.refuser.reject(message, head.id, 404, 'no route')
     const identity = identifyCaller(organisations, head.organisationKey, route)
-    if (identity.kind === 'unknown') return this.refuser.refuseUnknown(message, head, route)
+    if (identity.kind === 'unknown') return this.refuser.refuseUnknownKey(message, head, route)
     if (head.id === undefined) return this.refuser.reject(message, undefined, 400, 'no request id')
-    return this.handleIdentified({ message, id: head.id, head, route, identity, arrivedAt, left }, configuration)
+    return this.handleIdentified({ message, id: head.id, head, route, identity, arrivedAt, callerLeft: callerLeft }, configuration)
   }
 
-  private async handleIdentified ({ message, id, head, route, identity, arrivedAt, left }: IdentifiedRequest, configuration: SteeringConfiguration): Promise<CallerAnswer | undefined> {
+  private async handleIdentified ({ message, id, head, route, identity, arrivedAt, callerLeft: callerLeft }: IdentifiedRequest, configuration: SteeringConfiguration): Promise<CallerAnswer | undefined> {
     const { load, memory, forward, getNow, random } = this.parts
     const { routes, organisations } = forward.fleet
     const organisation = findOrganisation(identity)
     const allowedRegions = findCommonRegions(route.allowedRegions, organisation?.allowedRegions ?? [])
-    if (allowedRegions === undefined) return this.refuser.refuseNowhere(head, route, organisation?.name)
+    if (allowedRegions === undefined) return this.refuser.refuseNoCommonRegion(head, route, organisation?.name)
     const deadline = arrivedAt + Math.min(route.timeoutMs, head.waitsMs ?? route.timeoutMs)
     const patience = organisations.computeRelativePriority(organisation, routes.computeRelativePriority(route))
     if (deadline <= getNow() || !load.allow(patience, random())) return this.refuser.refuseOverloaded(head, route, organisation?.name)
-    if (memory.isFilling) return this.refuser.refuseFull(head, route, organisation?.name)
+    if (memory.isFilling) return this.refuser.refuseMemoryFull(head, route, organisation?.name)
     const { method = 'GET', url = '/', rawHeaders } = message
     const { affinityKey, organisationKey } = head
     const draft = { id, method, url, rawHeaders, affinityKey, route, identity, organisationKey, allowedRegions, configurationVersion: configuration.version, arrivedAt, deadline }
-    return this.serveWithin(organisation, head, route, () => this.serve(message, configuration.limits.maxBodyBytes, draft, left))
+    return this.serveWithinAllowance(organisation, head, route, () => this.serve(message, configuration.limits.maxBodyBytes, draft, callerLeft))
   }
 
   /** Serves a request if its organisation's allowance admits it, and releases the allowance usage if the request was not run. */
-  private async serveWithin (organisation: Organisation | undefined, head: CallerHead, route: Route, serve: () => Promise<ServedRequest>): Promise<CallerAnswer | undefined> {
+  private async serveWithinAllowance (organisation: Organisation | undefined, head: CallerHead, route: Route, serve: () => Promise<ServedRequest>): Promise<CallerAnswer | undefined> {
     const { allowances, getNow, random } = this.parts
     if (organisation === undefined) return (await serve()).answer
-    const letThroughAt = getNow()
-    const claim = allowances.ask(organisation.name, letThroughAt)
+    const admittedAt = getNow()
+    const claim = allowances.ask(organisation.name, admittedAt)
     if (random() >= claim.allowedPart) return this.refuser.refuseOverAllowance(head, route, organisation, claim.allowedPart)
-    allowances.observeLetThrough(claim, letThroughAt)
+    allowances.observeLetThrough(claim, admittedAt)
     const { answer, mayHaveRun } = await serve()
-    if (!mayHaveRun) allowances.releaseUse(claim, letThroughAt, getNow())
+    if (!mayHaveRun) allowances.releaseUse(claim, admittedAt, getNow())
     return answer
   }
 
-  private async serve (message: IncomingMessage, maxBodyBytes: number, draft: Omit<CallerRequest, 'body'>, left: AbortSignal): Promise<ServedRequest> {
+  private async serve (message: IncomingMessage, maxBodyBytes: number, draft: Omit<CallerRequest, 'body'>, callerLeft: AbortSignal): Promise<ServedRequest> {
     const read = await readBody(message, maxBodyBytes)
     if (read.kind === 'too-long') return { answer: this.refuser.reject(message, draft.id, 413, 'body too long'), mayHaveRun: false }
     if (read.kind === 'cut-short') return { answer: undefined, mayHaveRun: false }
-    return this.forward({ ...draft, body: read.body }, left)
+    return this.forward({ ...draft, body: read.body }, callerLeft)
   }
 
-  private async forward (request: CallerRequest, left: AbortSignal): Promise<ServedRequest> {
+  private async forward (request: CallerRequest, callerLeft: AbortSignal): Promise<ServedRequest> {
     const runner = this.createRunner(request)
     this.runners.add(runner)
-    const answer = await runner.run(left).finally(() => { this.runners.delete(runner) })
+    const answer = await runner.run(callerLeft).finally(() => { this.runners.delete(runner) })
     this.report(request, runner.record, answer)
     if (answer.kind === 'abandoned') return { answer: undefined, mayHaveRun: answer.wasSent }
     return { answer: this.parts.callerCodec.encodeAnswer(answer, request.id), mayHaveRun: answer.kind === 'passed' || answer.kind === 'failed' }
@@ -158,7 +158,7 @@
     const runtime = forward.getRuntime(service)
     runtime.observeRequest(request.route.targetLatencyMs, getNow())
     const keyHash = request.affinityKey === undefined ? Math.floor(random() * HASH_RANGE) : computeHash(`${request.route.name} ${request.affinityKey}`)
-    const placement = new RequestPlacement(forward, runtime, keyHash, request.allowedRegions, random() < WARM_UP_PART)
+    const placement = new RequestPlacement(forward, runtime, keyHash, request.allowedRegions, random() < WARM_UP_SHARE)
     return new RequestRunner(request, placement, { codec: targetCodec, gate: new RequestGate(request, quarantine), getNow })
   }
 
--- a/packages/almondrelay-gateway/src/process/forward/requestPlacement.ts
+++ b/packages/almondrelay-gateway/src/process/forward/requestPlacement.ts
@@ -15,9 +15,9 @@
   readonly homeRegion: string
 
   /** @param usesWarmingTarget whether the request goes to its key's preferred target although that target is warming up */
-  constructor (private readonly state: ForwardState, private readonly runtime: ServiceRuntime, private readonly keyHash: number, allowedRegions: readonly string[], private readonly warmsUp: boolean) {
-    const planned = runtime.regionParts.findHomeRegion(keyHash)
-    this.homeRegion = allowedRegions.length === 0 || allowedRegions.includes(planned) ? planned : allowedRegions[keyHash % allowedRegions.length] as string
+  constructor (private readonly state: ForwardState, private readonly runtime: ServiceRuntime, private readonly keyHash: number, allowedRegions: readonly string[], private readonly isWarmUpRequest: boolean) {
+    const plannedRegion = runtime.regionShares.findHomeRegion(keyHash)
+    this.homeRegion = allowedRegions.length === 0 || allowedRegions.includes(plannedRegion) ? plannedRegion : allowedRegions[keyHash % allowedRegions.length] as string
   }
 
   get service (): string {
@@ -30,7 +30,7 @@
   }
 
   choose (request: CallerRequest, triedIds: ReadonlySet<string>, now: number): TargetChoice | undefined {
-    const { fleet, trips } = this.state
+    const { fleet, roundTripTimes: roundTripTimes } = this.state
     const { targetLatencyMs } = request.route
     const times = this.runtime.findTimes(request.route.name)
     const isRegionOpen = this.findOpenRegions(request.allowedRegions)
@@ -38,28 +38,28 @@
       now,
       keyHash: this.keyHash,
       homeRegion: this.homeRegion,
-      findRoundTripMs: (region) => trips.find(region),
+      findRoundTripMs: (region) => roundTripTimes.find(region),
       warmMs: times.getWarmMs(targetLatencyMs),
       coldMs: times.getColdMs(targetLatencyMs),
       meanMs: this.runtime.times.getMeanMs(targetLatencyMs),
       targetLatencyMs,
       isEligible: ({ entry }) => !triedIds.has(entry.id) && !fleet.isEvacuated(entry.availabilityZone) && !this.state.steering.isDrained(entry) && isRegionOpen(entry.region),
       allowCold: (target) => this.state.allowCold(target, now),
-      isWarmUpRequest: this.warmsUp,
-      canSpill: this.declared?.spill !== false && this.runtime.away.allow()
+      isWarmUpRequest: this.isWarmUpRequest,
+      canSpill: this.declared?.spill !== false && this.runtime.spillAllowance.allow()
     })
   }
 
   /** Records that the request is sent to a target now. Each call is paired with one of observeFinish. */
   observeSend (choice: TargetChoice, now: number): void {
     const { target } = choice
-    this.state.shiftCaps.begin(this.service, target.entry.region)
+    this.state.shiftCapUsage.begin(this.service, target.entry.region)
     if (target.isCold(now)) this.state.observeColdSend(target, now)
-    if (target.entry.region !== this.homeRegion) this.runtime.away.use()
+    if (target.entry.region !== this.homeRegion) this.runtime.spillAllowance.use()
   }
 
   observeFinish (choice: TargetChoice): void {
-    this.state.shiftCaps.finish(this.service, choice.target.entry.region)
+    this.state.shiftCapUsage.finish(this.service, choice.target.entry.region)
   }
 
   /** Updates the target and the times from the result of an attempt. A cancelled attempt says nothing about its target. */
@@ -68,7 +68,7 @@
     if (attempt.isCancelled || attempt.sentAt === undefined) return
     if (result.kind !== 'answered') {
       target.observeFailure(now)
-      void this.state.probes.probe(target)
+      void this.state.prober.probe(target)
       return
     }
     if (result.head.coldForMs !== undefined) target.markCold(result.head.coldForMs, now)
@@ -89,12 +89,12 @@
   /** Whether the request's key still belongs to its organisation: a version that revokes the key may arrive while the request waits. */
   isIdentified ({ identity, organisationKey, route }: CallerRequest): boolean {
     if (identity.kind !== 'organisation') return true
-    const present = identifyCaller(this.state.fleet.organisations, organisationKey, route)
-    return present.kind === 'organisation' && present.organisation.name === identity.organisation.name
+    const current = identifyCaller(this.state.fleet.organisations, organisationKey, route)
+    return current.kind === 'organisation' && current.organisation.name === identity.organisation.name
   }
 
   useRetry (now: number): boolean {
-    return this.runtime.retries.use(now, this.state.countHosts())
+    return this.runtime.retryAllowance.use(now, this.state.countHosts())
   }
 
   getPool (target: TargetState): TargetPool {
@@ -108,14 +108,14 @@
   /** Returns a check that evaluates each region once per choice, because under a cap each evaluation sums up the requests running there. */
   private findOpenRegions (allowedRegions: readonly string[]): (region: string) => boolean {
     const { declared } = this
-    const known = new Map<string, boolean>()
+    const results = new Map<string, boolean>()
     return (region) => {
-      const answer = known.get(region) ??
+      const isOpen = results.get(region) ??
         ((allowedRegions.length === 0 || allowedRegions.includes(region)) &&
         (declared === undefined || declared.spill || (declared.weights[region] ?? 0) > 0) &&
         this.state.allowRegion(this.service, region))
-      known.set(region, answer)
-      return answer
+      results.set(region, isOpen)
+      return isOpen
     }
   }
 
--- a/packages/almondrelay-gateway/src/process/forward/requestRefuser.ts
+++ b/packages/almondrelay-gateway/src/process/forward/requestRefuser.ts
@@ -12,16 +12,16 @@
 import type { AccountKeeper } from '../observe/accountKeeper.js'
 import type { EventLog } from '../observe/eventLog.js'
 import type { GatewayMetrics } from '../observe/gatewayMetrics.js'
-import type { UntriedRefusal } from './untriedRefusal.js'
+import type { EarlyRefusal } from './earlyRefusal.js'
 
 /** Retry-After, in milliseconds, while this host has no configuration yet. */
-const STARTING_RETRY_MS = 500
+const UNCONFIGURED_RETRY_AFTER_MS = 500
 /** Mean Retry-After, in milliseconds, while pending answers fill the memory of this host. */
-const FULL_RETRY_MS = 1_000
+const MEMORY_FULL_RETRY_AFTER_MS = 1_000
 /** Mean Retry-After, in milliseconds, of a host with a stale configuration: a new connection can reach a host that is up to date. */
-const STALE_RETRY_MS = 200
+const STALE_RETRY_AFTER_MS = 200
 /** Mean Retry-After, in milliseconds, if only a new configuration can make the request succeed. */
-const NOWHERE_RETRY_MS = 2_000
+const NO_COMMON_REGION_RETRY_AFTER_MS = 2_000
 /** Status of the answer to a caller without an organisation's key. */
 const UNIDENTIFIED_STATUS = 401
 
@@ -56,14 +56,14 @@
    * up to date. A host that is cut off from the store may lack the key of a new customer that the next host serves, and callers
    * do not retry after 401.
    */
-  refuseUnknown (message: IncomingMessage, head: CallerHead, route: Route): CallerAnswer {
+  refuseUnknownKey (message: IncomingMessage, head: CallerHead, route: Route): CallerAnswer {
     const { fleet, staleAfterMs, getNow } = this.parts
     if (fleet.computeAge(getNow()) <= staleAfterMs) return this.reject(message, head.id, UNIDENTIFIED_STATUS, 'no key of an organisation')
-    return this.refuse(head, route, { retryAfterMs: this.spread(STALE_RETRY_MS), cause: RefusalReason.notReady, reason: 'this host doesn\'t know the newest configuration, and the key isn\'t in the one that it knows' })
+    return this.refuse(head, route, { retryAfterMs: this.addJitter(STALE_RETRY_AFTER_MS), cause: RefusalReason.notReady, reason: 'this host doesn\'t know the newest configuration, and the key isn\'t in the one that it knows' })
   }
 
-  refuseNowhere (head: CallerHead, route: Route, organisation: string | undefined): CallerAnswer {
-    return this.refuse(head, route, { retryAfterMs: this.spread(NOWHERE_RETRY_MS), cause: RefusalReason.noCommonRegion, reason: 'no region is allowed both to the route and to the organisation', organisation })
+  refuseNoCommonRegion (head: CallerHead, route: Route, organisation: string | undefined): CallerAnswer {
+    return this.refuse(head, route, { retryAfterMs: this.addJitter(NO_COMMON_REGION_RETRY_AFTER_MS), cause: RefusalReason.noCommonRegion, reason: 'no region is allowed both to the route and to the organisation', organisation })
   }
 
   refuseOverAllowance (head: CallerHead, route: Route, { name, ratePerSecond }: Organisation, allowedPart: number): CallerAnswer {
@@ -76,17 +76,17 @@
     return this.refuse(head, route, { retryAfterMs: load.computeRetryAfter(random()), cause: RefusalReason.hostOverloaded, reason: 'this host has no processor time left', organisation })
   }
 
-  refuseFull (head: CallerHead, route: Route, organisation: string | undefined): CallerAnswer {
-    return this.refuse(head, route, { retryAfterMs: this.spread(FULL_RETRY_MS), cause: RefusalReason.hostOverloaded, reason: 'answers that are on their way fill the memory of this host', organisation })
+  refuseMemoryFull (head: CallerHead, route: Route, organisation: string | undefined): CallerAnswer {
+    return this.refuse(head, route, { retryAfterMs: this.addJitter(MEMORY_FULL_RETRY_AFTER_MS), cause: RefusalReason.hostOverloaded, reason: 'answers that are on their way fill the memory of this host', organisation })
   }
 
-  refuseUnready (head: CallerHead): CallerAnswer {
-    const answer = { kind: 'refused' as const, retryAfterMs: STARTING_RETRY_MS, reason: 'no configuration yet', cause: RefusalReason.notReady }
+  refuseUnconfigured (head: CallerHead): CallerAnswer {
+    const answer = { kind: 'refused' as const, retryAfterMs: UNCONFIGURED_RETRY_AFTER_MS, reason: 'no configuration yet', cause: RefusalReason.notReady }
     this.parts.log.record('request refused', { id: head.id, ...answer })
     return this.parts.callerCodec.encodeAnswer(answer, head.id)
   }
 
-  private refuse (head: CallerHead, route: Route, refusal: UntriedRefusal): CallerAnswer {
+  private refuse (head: CallerHead, route: Route, refusal: EarlyRefusal): CallerAnswer {
     const { load, memory, fleet, account, callerCodec, metrics, log } = this.parts
     const { organisation, cause } = refusal
     account.recordRefusal(organisation ?? route.hostName, cause)
@@ -97,7 +97,7 @@
   }
 
   /** Returns the mean, in milliseconds, with jitter, so that refused callers do not all retry at the same time. */
-  private spread (meanMs: number): number {
+  private addJitter (meanMs: number): number {
     return meanMs * (0.5 + this.parts.random())
   }
 }
--- a/packages/almondrelay-gateway/src/process/forward/requestRunner.ts
+++ b/packages/almondrelay-gateway/src/process/forward/requestRunner.ts
@@ -17,13 +17,13 @@
 import type { RequestPlacement } from './requestPlacement.js'
 
 /** Multiple of the expected duration after which a request is hedged. */
-const OVERDUE_RATIO = 3
+const HEDGE_DELAY_RATIO = 3
 /** Minimum delay of a hedge in milliseconds. */
-const OVERDUE_LEAST_MS = 150
+const MIN_HEDGE_DELAY_MS = 150
 /** Milliseconds after the deadline within which the target's own answer may still arrive, which keeps its connection reusable. */
-const LATE_ANSWER_MS = 400
+const LATE_ANSWER_TIMEOUT_MS = 400
 /** Default Retry-After in milliseconds: about the time of one answer. */
-const PLAIN_RETRY_AFTER_MS = 150
+const DEFAULT_RETRY_AFTER_MS = 150
 
 interface RunnerParts {
   codec: TargetCodec
@@ -40,28 +40,28 @@
   private readonly timers: NodeJS.Timeout[] = []
   private sends = 0
   /** Failure answer of a target that is passed to the caller if no better answer arrives. */
-  private kept: Extract<AttemptResult, { kind: 'answered' }> | undefined
+  private fallbackAnswer: Extract<AttemptResult, { kind: 'answered' }> | undefined
   /** Last failure after which the request may have run, for the final answer; undefined if there was none. */
-  private doubt: ReturnType<typeof describeResult> | undefined
+  private uncertainFailure: ReturnType<typeof describeResult> | undefined
   private refusal: ReturnType<typeof describeResult> = { text: 'no target', cause: RefusalReason.noTarget }
   /** Whether the caller's key was revoked while the request waited. */
   private isUnidentified = false
-  private retryAfterMs = PLAIN_RETRY_AFTER_MS
+  private retryAfterMs = DEFAULT_RETRY_AFTER_MS
 
   constructor (private readonly request: CallerRequest, private readonly placement: RequestPlacement, private readonly parts: RunnerParts) {
     this.record = { service: placement.service, homeRegion: placement.homeRegion, ...placement.describeAges(request.arrivedAt), attempts: [] }
   }
 
   async run (callerLeft: AbortSignal): Promise<FinalAnswer> {
-    const handleLeft = (): void => { this.events.push({ kind: 'caller-left' }) }
-    callerLeft.addEventListener('abort', handleLeft, { once: true })
-    if (callerLeft.aborted) handleLeft()
+    const handleAbort = (): void => { this.events.push({ kind: 'caller-left' }) }
+    callerLeft.addEventListener('abort', handleAbort, { once: true })
+    if (callerLeft.aborted) handleAbort()
     this.startTimer(this.request.deadline - this.parts.getNow(), { kind: 'deadline' })
     try {
-      if (this.parts.gate.isClosed) await this.parts.gate.claimTrial(this.parts.getNow())
+      if (this.parts.gate.isBlocked) await this.parts.gate.claimTrial(this.parts.getNow())
       return await this.handleEvents()
     } finally {
-      callerLeft.removeEventListener('abort', handleLeft)
+      callerLeft.removeEventListener('abort', handleAbort)
       for (const timer of this.timers) clearTimeout(timer)
     }
   }
@@ -76,7 +76,7 @@
     for (;;) {
       const event = await this.events.take()
       const answer = match(event)
-        .with({ kind: 'ended' }, ({ attempt, result }) => this.handleEnd(attempt, result))
+        .with({ kind: 'ended' }, ({ attempt, result }) => this.handleAttemptEnd(attempt, result))
         .with({ kind: 'overdue' }, () => this.handleOverdue())
         .with({ kind: 'deadline' }, () => this.handleDeadline())
         .with({ kind: 'caller-left' }, () => this.handleCallerLeft())
@@ -85,7 +85,7 @@
     }
   }
 
-  private handleEnd (attempt: Attempt, result: AttemptResult): FinalAnswer | undefined {
+  private handleAttemptEnd (attempt: Attempt, result: AttemptResult): FinalAnswer | undefined {
     this.running.delete(attempt)
     const step = decideNextStep(result, this.request.route.idempotent)
     if (result.kind === 'broken') this.record.fingerprint ??= this.parts.gate.fingerprint
@@ -93,20 +93,20 @@
     if (step === NextStep.resend) this.sends -= 1
     if (step === NextStep.deliver && result.kind === 'answered') return this.passAnswer(result)
     if (step === NextStep.giveUp) return this.reportFailure(describeResult(result))
-    this.keepForLater(result, step)
+    this.recordFailure(result, step)
     if (this.startAttempt() || this.running.size > 0) return undefined
     return this.finishWithoutAnswer()
   }
 
-  private keepForLater (result: AttemptResult, step: NextStep): void {
-    if (step === NextStep.retryMaybeRun) this.doubt = describeResult(result)
+  private recordFailure (result: AttemptResult, step: NextStep): void {
+    if (step === NextStep.retryMaybeRun) this.uncertainFailure = describeResult(result)
     else this.refusal = describeResult(result)
-    if (step === NextStep.retryMaybeRun && result.kind === 'answered' && result.head.isGenuine) this.kept = result
+    if (step === NextStep.retryMaybeRun && result.kind === 'answered' && result.head.isGenuine) this.fallbackAnswer = result
   }
 
   private finishWithoutAnswer (): FinalAnswer {
-    if (this.kept !== undefined) return this.passAnswer(this.kept)
-    return this.doubt === undefined ? this.refuse() : this.reportFailure(this.doubt)
+    if (this.fallbackAnswer !== undefined) return this.passAnswer(this.fallbackAnswer)
+    return this.uncertainFailure === undefined ? this.refuse() : this.reportFailure(this.uncertainFailure)
   }
 
   // Only the elapsed time shows that a target has become unresponsive. Only idempotent requests may be hedged.
@@ -116,13 +116,13 @@
   }
 
   private handleDeadline (): FinalAnswer {
-    const wasSent = [...this.running].some((attempt) => attempt.sentAt !== undefined) || this.doubt !== undefined
+    const wasSent = [...this.running].some((attempt) => attempt.sentAt !== undefined) || this.uncertainFailure !== undefined
     for (const attempt of this.running) {
       this.placement.observeOverrun(attempt, this.parts.getNow())
       this.recordAttempt(attempt, 'no answer in time')
-      this.leaveBehind(attempt)
+      this.cancelAfterDeadline(attempt)
     }
-    if (this.kept !== undefined) return this.passAnswer(this.kept)
+    if (this.fallbackAnswer !== undefined) return this.passAnswer(this.fallbackAnswer)
     return wasSent
       ? { kind: 'failed', timedOut: true, reason: 'no answer in time', cause: RefusalReason.deadlinePassed }
       : { kind: 'refused', retryAfterMs: 0, reason: 'no time left', cause: RefusalReason.deadlinePassed }
@@ -131,7 +131,7 @@
   // An idempotent request is cancelled at once: running it again costs only a target's time, and the target is freed. A request that
   // may run only once continues, because cancelling it would leave its outcome unknown.
   private handleCallerLeft (): FinalAnswer {
-    const wasSent = [...this.running].some((attempt) => attempt.sentAt !== undefined) || this.doubt !== undefined
+    const wasSent = [...this.running].some((attempt) => attempt.sentAt !== undefined) || this.uncertainFailure !== undefined
     for (const attempt of this.running) {
       this.recordAttempt(attempt, 'caller left')
       if (this.request.route.idempotent || attempt.sentAt === undefined) attempt.cancel('caller left')
@@ -140,9 +140,9 @@
   }
 
   // The target stops by itself at the deadline that was sent to it; if its own answer arrives shortly after, the connection stays reusable.
-  private leaveBehind (attempt: Attempt): void {
+  private cancelAfterDeadline (attempt: Attempt): void {
     if (attempt.sentAt === undefined) attempt.cancel('deadline')
-    else setTimeout(() => { attempt.cancel('deadline') }, LATE_ANSWER_MS)
+    else setTimeout(() => { attempt.cancel('deadline') }, LATE_ANSWER_TIMEOUT_MS)
   }
 
   private passAnswer (result: Extract<AttemptResult, { kind: 'answered' }>): FinalAnswer {
@@ -162,20 +162,20 @@
   /** Sends the request to one more target. Returns false if none can answer in time or no further attempt is allowed. */
   private startAttempt (): boolean {
     const now = this.parts.getNow()
-    const isRepeat = this.sends > 0
-    if (isRepeat && this.sends >= this.request.route.maxAttempts) return false
-    if (!this.parts.gate.allowSend(this.sends)) return this.holdBack(now)
+    const isRetry = this.sends > 0
+    if (isRetry && this.sends >= this.request.route.maxAttempts) return false
+    if (!this.parts.gate.allowSend(this.sends)) return this.refuseQuarantined(now)
     this.isUnidentified = !this.placement.isIdentified(this.request)
     if (this.isUnidentified) return false
-    const choice = this.chooseAdmitted(now)
+    const choice = this.chooseAdmittedTarget(now)
     if (choice === undefined) return false
-    if (isRepeat && now + choice.expectedMs > this.request.deadline) return false
-    if (isRepeat && !this.placement.useRetry(now)) return false
+    if (isRetry && now + choice.expectedMs > this.request.deadline) return false
+    if (isRetry && !this.placement.useRetry(now)) return false
     this.send(choice, now)
     return true
   }
 
-  private holdBack (now: number): false {
+  private refuseQuarantined (now: number): false {
     const { gate } = this.parts
     this.record.fingerprint ??= gate.fingerprint
     this.refusal = { text: 'targets ended under this request: it is quarantined', cause: RefusalReason.quarantined }
@@ -184,7 +184,7 @@
   }
 
   /** Returns the target for the request; undefined if there is none or if the request would wait there for too long to be on time. */
-  private chooseAdmitted (now: number): TargetChoice | undefined {
+  private chooseAdmittedTarget (now: number): TargetChoice | undefined {
     const choice = this.placement.choose(this.request, this.triedIds, now)
     if (choice === undefined) return undefined
     const retryAfterMs = this.decideAdmission(choice, now)
@@ -201,12 +201,12 @@
 
   private send (choice: TargetChoice, now: number): void {
     const { codec, gate, getNow } = this.parts
-    const attempt = new Attempt(this.request, choice, { codec, getNow, isIdentified: () => this.placement.isIdentified(this.request), isQuarantined: () => gate.isClosed })
+    const attempt = new Attempt(this.request, choice, { codec, getNow, isIdentified: () => this.placement.isIdentified(this.request), isQuarantined: () => gate.isBlocked })
     this.sends += 1
     this.triedIds.add(choice.target.entry.id)
     this.running.add(attempt)
     this.placement.observeSend(choice, now)
-    if (this.request.route.idempotent) this.startTimer(Math.max(OVERDUE_LEAST_MS, choice.expectedMs * OVERDUE_RATIO), { kind: 'overdue' })
+    if (this.request.route.idempotent) this.startTimer(Math.max(MIN_HEDGE_DELAY_MS, choice.expectedMs * HEDGE_DELAY_RATIO), { kind: 'overdue' })
     void attempt.run(this.placement.getPool(choice.target)).then((result) => {
       this.placement.observeFinish(choice)
       this.placement.observeResult(attempt, result, this.parts.getNow())
--- a/packages/almondrelay-gateway/src/process/forward/serviceRuntime.ts
+++ b/packages/almondrelay-gateway/src/process/forward/serviceRuntime.ts
@@ -10,26 +10,26 @@
 /** Window in milliseconds over which the request rate is counted. */
 const DEMAND_WINDOW_MS = 2_000
 /** Latency target, in milliseconds, from which the times of a service without requests are estimated. */
-const FIRST_LATENCY_MS = 250
+const DEFAULT_LATENCY_TARGET_MS = 250
 /** Maximum number of routes whose times are kept; the route that was added first is dropped. */
-const MOST_ROUTES = 200
+const MAX_ROUTES = 200
 
 /** State of one service on this host, kept for as long as the process runs. */
 export class ServiceRuntime {
   /** Times over all routes to the service. */
   readonly times = new ServiceTimes()
-  readonly retries: RetryAllowance
-  readonly regionParts: RegionShares
-  readonly away: SpillAllowance
+  readonly retryAllowance: RetryAllowance
+  readonly regionShares: RegionShares
+  readonly spillAllowance: SpillAllowance
   private readonly arrivals = new SlidingWindowCounter(DEMAND_WINDOW_MS)
   private readonly routeTimes = new Map<string, ServiceTimes>()
-  private latencyMs = FIRST_LATENCY_MS
+  private latencyMs = DEFAULT_LATENCY_TARGET_MS
 
   constructor (readonly name: string, settings: GatewaySettings) {
     const { bounds, host } = settings
-    this.retries = new RetryAllowance({ ratio: bounds.retryRatio, extra: bounds.retryExtra, windowMs: bounds.retryWindow })
-    this.regionParts = new RegionShares(host.region, bounds.shiftPart)
-    this.away = new SpillAllowance(bounds.shiftPart)
+    this.retryAllowance = new RetryAllowance({ ratio: bounds.retryRatio, extra: bounds.retryExtra, windowMs: bounds.retryWindow })
+    this.regionShares = new RegionShares(host.region, bounds.shiftPart)
+    this.spillAllowance = new SpillAllowance(bounds.shiftPart)
   }
 
   /** Returns the times of the requests of one route: the routes to one service may differ widely. */
@@ -37,15 +37,15 @@
     const known = this.routeTimes.get(route)
     if (known !== undefined) return known
     const times = new ServiceTimes(this.times)
-    putBounded(this.routeTimes, route, times, MOST_ROUTES)
+    putBounded(this.routeTimes, route, times, MAX_ROUTES)
     return times
   }
 
   observeRequest (targetLatencyMs: number, now: number): void {
     this.latencyMs = targetLatencyMs
     this.arrivals.add(now)
-    this.retries.observeRequest(now)
-    this.away.observeRequest()
+    this.retryAllowance.observeRequest(now)
+    this.spillAllowance.observeRequest()
   }
 
   /** Returns the demand that peers need for planning the regions' shares. */
@@ -55,7 +55,7 @@
       perSecond: this.arrivals.count(now) / DEMAND_WINDOW_MS * 1_000,
       warmMs: this.times.getWarmMs(this.latencyMs),
       coldMs: this.times.getColdMs(this.latencyMs),
-      parts: this.regionParts.hasPlan ? this.regionParts.getShares() : new Map()
+      parts: this.regionShares.hasPlan ? this.regionShares.getShares() : new Map()
     }
   }
 }
--- a/packages/almondrelay-gateway/src/process/forward/targetPools.ts
+++ b/packages/almondrelay-gateway/src/process/forward/targetPools.ts
@@ -2,7 +2,7 @@
 import type { ConnectionParts } from '../../connection/connectionParts.js'
 import { TargetPool } from '../../connection/targetPool.js'
 import type { TargetState } from '../../request/targetState.js'
-import type { TripTimes } from './tripTimes.js'
+import type { RoundTripTimes } from './roundTripTimes.js'
 
 interface PoolsObserver {
   countOpened: (region: string) => void
@@ -14,7 +14,7 @@
 export class TargetPools {
   private readonly pools = new Map<string, TargetPool>()
 
-  constructor (private readonly parts: ConnectionParts, private readonly trips: TripTimes, private readonly observer: PoolsObserver) {}
+  constructor (private readonly parts: ConnectionParts, private readonly roundTripTimes: RoundTripTimes, private readonly observer: PoolsObserver) {}
 
   get (target: TargetState): TargetPool {
     const { id, region } = target.entry
@@ -23,7 +23,7 @@
     const pool = new TargetPool(this.parts, {
       countOpened: () => { this.observer.countOpened(region) },
       observeFailure: (failure, isUnconnected) => { this.observer.observeFailure(target, failure, isUnconnected) },
-      observeConnect: (durationMs) => { this.trips.learn(region, durationMs) }
+      observeConnect: (durationMs) => { this.roundTripTimes.update(region, durationMs) }
     })
     this.pools.set(id, pool)
     return pool
--- a/packages/almondrelay-gateway/src/process/forward/targetProbes.ts
+++ b/packages/almondrelay-gateway/src/process/forward/targetProber.ts
@@ -2,26 +2,26 @@
 import { ConnectFailure } from '../../connection/connectFailure.js'
 import type { TargetState } from '../../request/targetState.js'
 import type { TargetPools } from './targetPools.js'
-import type { TripTimes } from './tripTimes.js'
+import type { RoundTripTimes } from './roundTripTimes.js'
 
 /** Maximum number of probes of a target in a row. */
-const PROBES = 3
+const MAX_PROBES = 3
 /** Milliseconds between two probes. */
-const PROBE_PAUSE_MS = 150
+const PROBE_INTERVAL_MS = 150
 /** Milliseconds within which a probe must connect, on top of two round trips. */
 const PROBE_TIMEOUT_MS = 300
 
 /** Probes whether a target that left a request unanswered still listens. The target's pool reports failures to its observer. */
-export class TargetProbes {
+export class TargetProber {
   private readonly running = new Set<TargetState>()
 
-  constructor (private readonly pools: TargetPools, private readonly trips: TripTimes, private readonly signal: AbortSignal) {}
+  constructor (private readonly pools: TargetPools, private readonly roundTripTimes: RoundTripTimes, private readonly signal: AbortSignal) {}
 
   async probe (target: TargetState): Promise<void> {
     if (this.running.has(target)) return
     this.running.add(target)
     try {
-      for (let probe = 0; probe < PROBES && !await this.hasVerdict(target); probe += 1) await sleepFor(PROBE_PAUSE_MS, this.signal)
+      for (let count = 0; count < MAX_PROBES && !await this.probeOnce(target); count += 1) await sleepFor(PROBE_INTERVAL_MS, this.signal)
     } finally {
       this.running.delete(target)
     }
@@ -29,10 +29,10 @@
 
   // Returns true once no further probe is needed. A refused connection is conclusive only after all other connections have
   // closed, because those to an exited target may still look open. Other failures are not: a probe may be lost.
-  private async hasVerdict (target: TargetState): Promise<boolean> {
+  private async probeOnce (target: TargetState): Promise<boolean> {
     const pool = this.pools.find(target)
     if (pool === undefined || this.signal.aborted) return true
-    const result = await pool.probe(target.entry, PROBE_TIMEOUT_MS + 2 * this.trips.find(target.entry.region))
+    const result = await pool.probe(target.entry, PROBE_TIMEOUT_MS + 2 * this.roundTripTimes.find(target.entry.region))
     if (result.kind === 'connected' || result.failure === ConnectFailure.targetLeft) return true
     return result.failure === ConnectFailure.refused && pool.isUnconnected
   }
--- a/packages/almondrelay-gateway/src/process/gateway.ts
+++ b/packages/almondrelay-gateway/src/process/gateway.ts
@@ -104,7 +104,7 @@
       targetRemoved: (target) => { this.forward.dropTarget(target.entry.id) },
       targetRestarted: (target) => {
         this.forward.abortTarget(target.entry.id)
-        this.quarantine.observeTargetEnd(target, getNow())
+        this.quarantine.observeTargetExit(target, getNow())
       },
       hostRemoved: (entry) => { this.view.observeGone(entry, getNow()) }
     })
@@ -219,7 +219,7 @@
   // The process of a target has exited if its address refuses connections and this host has no open connection to it.
   private observeFailure (target: TargetState, failure: ConnectFailure, isUnconnected: boolean): void {
     this.parts.metrics.countConnectFailure(target.entry.region, failure)
-    if (failure === ConnectFailure.refused && isUnconnected) this.quarantine.observeTargetEnd(target, this.parts.getNow())
+    if (failure === ConnectFailure.refused && isUnconnected) this.quarantine.observeTargetExit(target, this.parts.getNow())
   }
 
   private startTasks (signal: AbortSignal, leaving: AbortSignal): Promise<unknown> {
--- a/packages/almondrelay-gateway/src/process/operators/addQuarantineRoutes.ts
+++ b/packages/almondrelay-gateway/src/process/operators/addQuarantineRoutes.ts
@@ -13,7 +13,7 @@
 const describeSuspect = (suspect: Suspect, now: number): object => ({
   fingerprint: suspect.fingerprint,
   organisation: suspect.organisation,
-  ends: suspect.countEnds(),
+  ends: suspect.countExits(),
   isQuarantined: suspect.isQuarantined,
   trials: suspect.trials,
   ...(suspect.isQuarantined ? { nextTrialMs: Math.max(0, Math.round(suspect.trialAt - now)) } : {})
--- a/packages/almondrelay-gateway/src/process/operators/operatorService.ts
+++ b/packages/almondrelay-gateway/src/process/operators/operatorService.ts
@@ -83,7 +83,7 @@
         .reduce((sum, target) => sum + target.countOutstanding(this.parts.clock.getNow()), 0),
       countCarried: (resource) => resource.kind === 'Region'
         ? undefined
-        : forward.shiftCaps.countRunning(resource.spec.to, resource.kind === 'ShiftCap' ? resource.spec.service : undefined)
+        : forward.shiftCapUsage.countRunning(resource.spec.to, resource.kind === 'ShiftCap' ? resource.spec.service : undefined)
     }
   }
 }
--- a/packages/almondrelay-gateway/src/process/quarantine/__fixtures__/quarantineFleet.ts
+++ b/packages/almondrelay-gateway/src/process/quarantine/__fixtures__/quarantineFleet.ts
@@ -19,12 +19,12 @@
 
 const STEP_MS = 10
 /** Milliseconds between two reads of the store's changes by a host. */
-const WATCH_MS = 250
+const WATCH_INTERVAL_MS = 250
 /** Milliseconds after an announcement at which its datagrams are sent. */
-const ANNOUNCED_AT = [10, 410, 810]
-const TRIP_MS = 30
+const ANNOUNCEMENT_DELAYS_MS = [10, 410, 810]
+const ONE_WAY_LATENCY_MS = 30
 /** Milliseconds from the loss of an answer until the exit of the target is observed. */
-const VERDICT_MS = 60
+const EXIT_DETECTION_MS = 60
 const WORK_MS = 150
 const POISON_WORK_MS = 80
 const RESTART_MS = 3_000
@@ -32,7 +32,7 @@
 const ANSWER: TargetAnswerHead = { status: 200, rawHeaders: [], requestId: 'r', isNotRun: false, isMisdirected: false, isGenuine: true, keepAliveMs: undefined, closesConnection: false, load: undefined, coldForMs: undefined }
 
 interface ModelTarget {
-  life: TargetState
+  incarnation: TargetState
   downUntil: number
   running: Set<Sending>
 }
@@ -51,7 +51,7 @@
 interface Sending {
   host: ModelHost
   target: ModelTarget
-  life: TargetState
+  incarnation: TargetState
   gate: RequestGate
   url: string
   sends: number
@@ -77,10 +77,10 @@
   /** Milliseconds at which all records lapse with their leases; undefined if none do. */
   lapseAt?: number
   /** Share of the targets that crash at a time for reasons other than the request. */
-  findCrashPart?: (now: number) => number
+  findCrashShare?: (now: number) => number
 }
 
-interface Timed {
+interface ScheduledTask {
   at: number
   run: () => void
 }
@@ -97,11 +97,11 @@
   private readonly codec = new PlainFleetCodec()
   private readonly hosts: ModelHost[]
   private readonly targets: ModelTarget[]
-  private agenda: Timed[] = []
-  private lives = 0
+  private scheduled: ScheduledTask[] = []
+  private incarnationCount = 0
 
   constructor (private readonly options: FleetOptions) {
-    this.targets = Array.from({ length: options.targets }, () => ({ life: this.makeLife(), downUntil: 0, running: new Set() }))
+    this.targets = Array.from({ length: options.targets }, () => ({ incarnation: this.makeIncarnation(), downUntil: 0, running: new Set() }))
     this.hosts = Array.from({ length: options.hosts }, (_, index) => this.makeHost(index))
   }
 
@@ -122,19 +122,19 @@
    */
   countLateSends (windowMs: number): number {
     const third = this.ends[2]
-    return third === undefined ? 0 : this.sends.filter(({ at, host }) => at > third + windowMs && this.isInTouch(host, at, windowMs)).length
+    return third === undefined ? 0 : this.sends.filter(({ at, host }) => at > third + windowMs && this.isConnected(host, at, windowMs)).length
   }
 
-  private isInTouch (host: number, at: number, windowMs: number): boolean {
+  private isConnected (host: number, at: number, windowMs: number): boolean {
     for (let time = at - windowMs; time <= at; time += STEP_MS) {
       if (this.options.isDown?.(host, time) === true || this.options.reachesStore?.(host, time) === false) return false
     }
     return true
   }
 
-  private makeLife (): TargetState {
-    this.lives += 1
-    return makeTarget({ id: `target-${this.lives}` })
+  private makeIncarnation (): TargetState {
+    this.incarnationCount += 1
+    return makeTarget({ id: `target-${this.incarnationCount}` })
   }
 
   private makeHost (index: number): ModelHost {
@@ -148,10 +148,10 @@
       getNow: () => this.now,
       random,
       sleep: (ms) => new Promise((resolve) => { this.schedule(ms, resolve) }),
-      adopt: (record, revision) => { quarantine.adoptRecord(record, revision, this.now) }
+      adoptRecord: (record, revision) => { quarantine.adoptRecord(record, revision, this.now) }
     }, stop.signal)
     const quarantine: Quarantine = new Quarantine({ exchange: { announce: (suspect) => { this.announce(index, suspect) } }, store: suspects, log, metrics: new GatewayMetrics(), random })
-    return { index, quarantine, watchedRevision: 0, nextWatchAt: this.now + random() * WATCH_MS, upSince: this.now, isReady: false, stop }
+    return { index, quarantine, watchedRevision: 0, nextWatchAt: this.now + random() * WATCH_INTERVAL_MS, upSince: this.now, isReady: false, stop }
   }
 
   /** Makes a view of the store that throws while the host cannot reach it. */
@@ -172,24 +172,24 @@
   }
 
   private schedule (delayMs: number, run: () => void): void {
-    this.agenda.push({ at: this.now + delayMs, run })
+    this.scheduled.push({ at: this.now + delayMs, run })
   }
 
   private runDue (): void {
-    const due = this.agenda.filter(({ at }) => at <= this.now)
+    const due = this.scheduled.filter(({ at }) => at <= this.now)
     if (due.length === 0) return
-    this.agenda = this.agenda.filter(({ at }) => at > this.now)
+    this.scheduled = this.scheduled.filter(({ at }) => at > this.now)
     for (const { run } of due) run()
   }
 
   private announce (from: number, suspect: Suspect): void {
     const { loss = 0, random, isLinked, isDown } = this.options
-    for (const delayMs of ANNOUNCED_AT) {
+    for (const delayMs of ANNOUNCEMENT_DELAYS_MS) {
       this.schedule(delayMs, () => {
         if (isDown?.(from, this.now) === true) return
         const bytes = encodeSuspectReport({ host: String(from), incarnation: 'i', suspects: [suspect.describe()], passesOn: false })
         for (const { index } of this.hosts) {
-          if (index !== from && random() >= loss && isLinked?.(from, index, this.now) !== false) this.schedule(TRIP_MS, () => { this.receive(index, bytes) })
+          if (index !== from && random() >= loss && isLinked?.(from, index, this.now) !== false) this.schedule(ONE_WAY_LATENCY_MS, () => { this.receive(index, bytes) })
         }
       })
     }
@@ -198,7 +198,7 @@
   private receive (to: number, bytes: Uint8Array): void {
     const message = decodeDatagram(bytes)
     if (message?.kind !== 'suspects' || this.options.isDown?.(to, this.now) === true) return
-    for (const word of message.report.suspects) this.hosts[to]?.quarantine.hear(word, this.now)
+    for (const state of message.report.suspects) this.hosts[to]?.quarantine.receiveState(state, this.now)
   }
 
   private advance (host: ModelHost): void {
@@ -219,7 +219,7 @@
 
   private watch (host: ModelHost): void {
     if (!this.hasStore(host.index)) return
-    host.nextWatchAt = this.now + WATCH_MS
+    host.nextWatchAt = this.now + WATCH_INTERVAL_MS
     const events = host.isReady ? this.store.listEvents('', host.watchedRevision) : this.store.listItems().map((item) => ({ kind: 'written' as const, item }))
     host.isReady = true
     host.watchedRevision = this.store.latestRevision
@@ -232,7 +232,7 @@
 
   private async handle (host: ModelHost, url: string): Promise<void> {
     const gate = new RequestGate(makeRequest({ url }), host.quarantine)
-    if (gate.isClosed) await gate.claimTrial(this.now)
+    if (gate.isBlocked) await gate.claimTrial(this.now)
     this.send(host, gate, url, 0)
   }
 
@@ -245,38 +245,38 @@
       return
     }
     if (url === POISON) this.sends.push({ at: this.now, host: host.index })
-    const sending = { host, target, life: target.life, gate, url, sends: sends + 1 }
+    const sending = { host, target, incarnation: target.incarnation, gate, url, sends: sends + 1 }
     target.running.add(sending)
-    this.schedule(TRIP_MS + (url === POISON ? POISON_WORK_MS : WORK_MS), () => { this.finish(sending) })
+    this.schedule(ONE_WAY_LATENCY_MS + (url === POISON ? POISON_WORK_MS : WORK_MS), () => { this.finish(sending) })
   }
 
   private finish (sending: Sending): void {
-    const { target, life, host, gate, url } = sending
+    const { target, incarnation: incarnation, host, gate, url } = sending
     if (!target.running.delete(sending)) return
     if (url === POISON) {
       this.ends.push(this.now)
       this.stop(target)
-      this.drop(sending)
+      this.handleLoss(sending)
       return
     }
-    gate.observeResult(life, { kind: 'answered', head: ANSWER, body: Buffer.alloc(0) }, this.now)
+    gate.observeResult(incarnation, { kind: 'answered', head: ANSWER, body: Buffer.alloc(0) }, this.now)
     if (host.upSince !== Infinity) this.served.push({ at: this.now, url })
   }
 
   private stop (target: ModelTarget): void {
     target.downUntil = this.now + RESTART_MS
-    target.life = this.makeLife()
+    target.incarnation = this.makeIncarnation()
     const lost = [...target.running]
     target.running.clear()
-    for (const sending of lost) this.drop(sending)
+    for (const sending of lost) this.handleLoss(sending)
   }
 
-  private drop ({ host, gate, life, url, sends }: Sending): void {
+  private handleLoss ({ host, gate, incarnation: incarnation, url, sends }: Sending): void {
     const { quarantine } = host
-    this.schedule(TRIP_MS, () => {
+    this.schedule(ONE_WAY_LATENCY_MS, () => {
       if (this.options.isDown?.(host.index, this.now) === true || host.quarantine !== quarantine) return
-      gate.observeResult(life, { kind: 'broken', reason: 'ended by the target' }, this.now)
-      this.schedule(VERDICT_MS, () => { quarantine.observeTargetEnd(life, this.now) })
+      gate.observeResult(incarnation, { kind: 'broken', reason: 'ended by the target' }, this.now)
+      this.schedule(EXIT_DETECTION_MS, () => { quarantine.observeTargetExit(incarnation, this.now) })
       if (sends < 2) this.send(host, gate, url, sends)
     })
   }
@@ -286,7 +286,7 @@
   }
 
   private killTargets (): void {
-    const part = this.options.findCrashPart?.(this.now) ?? 0
-    for (const target of this.targets) if (target.downUntil <= this.now && this.options.random() < part) this.stop(target)
+    const share = this.options.findCrashShare?.(this.now) ?? 0
+    for (const target of this.targets) if (target.downUntil <= this.now && this.options.random() < share) this.stop(target)
   }
 }
--- a/packages/almondrelay-gateway/src/process/quarantine/__tests__/quarantineInTrouble.test.ts
+++ b/packages/almondrelay-gateway/src/process/quarantine/__tests__/quarantineInTrouble.test.ts
@@ -6,8 +6,8 @@
 const test = suite('a request that makes its targets exit, under faults')
 /** Milliseconds for which a host must have been up and reached the store to be checked, and within which it must know of the quarantine. */
 const STABLE_WINDOW_MS = 4_000
-const MOST_LATE_SENDS = 3
-const DAY_MS = 60_000
+const MAX_LATE_SENDS = 3
+const RUN_MS = 60_000
 const SEEDS = Array.from({ length: 20 }, (_, index) => 1_001 + index)
 
 interface Span {
@@ -41,9 +41,9 @@
       isLinked: (from, to, now) => !(kinds[2] === true && isWithin(partition, now) && picked[from] !== picked[to]),
       isDown: (host, now) => kinds[3] === true && picked[host] === true && isWithin(kill, now)
     })
-    await fleet.run(DAY_MS)
+    await fleet.run(RUN_MS)
     assert.ok(fleet.ends.length >= 3)
-    assert.ok(fleet.countLateSends(STABLE_WINDOW_MS) <= MOST_LATE_SENDS, `${fleet.countLateSends(STABLE_WINDOW_MS)} late sends, ${fleet.ends.length} exits`)
+    assert.ok(fleet.countLateSends(STABLE_WINDOW_MS) <= MAX_LATE_SENDS, `${fleet.countLateSends(STABLE_WINDOW_MS)} late sends, ${fleet.ends.length} exits`)
   })
 }
 
@@ -51,17 +51,17 @@
 test('lapsed records are written again before all hosts are restarted', async () => {
   const random = createSeededRandom(9)
   const fleet = new QuarantineFleet({ hosts: 8, targets: 14, random, poisonPerSecond: 6, hotPaths: 2, hotPerSecond: 10, lapseAt: 20_000, isDown: (host, now) => now >= 24_000 + host * 500 && now < 25_000 + host * 500 })
-  await fleet.run(DAY_MS)
+  await fleet.run(RUN_MS)
   const endsAfter = fleet.ends.filter((at) => at >= 24_000).length
   assert.ok(endsAfter < 3, `${endsAfter} targets exited after the hosts were restarted`)
-  assert.ok(fleet.countLateSends(STABLE_WINDOW_MS) <= MOST_LATE_SENDS)
+  assert.ok(fleet.countLateSends(STABLE_WINDOW_MS) <= MAX_LATE_SENDS)
 })
 
 // Guards against refusing requests for popular objects because a third of the targets crashes every two seconds, whatever they run.
 test('frequently requested objects are still served while targets exit for other reasons', async () => {
   const random = createSeededRandom(7)
-  const fleet = new QuarantineFleet({ hosts: 8, targets: 14, random, poisonPerSecond: 0, hotPaths: 10, hotPerSecond: 10, findCrashPart: (now) => now % 2_000 === 0 ? 1 / 3 : 0 })
-  await fleet.run(DAY_MS)
+  const fleet = new QuarantineFleet({ hosts: 8, targets: 14, random, poisonPerSecond: 0, hotPaths: 10, hotPerSecond: 10, findCrashShare: (now) => now % 2_000 === 0 ? 1 / 3 : 0 })
+  await fleet.run(RUN_MS)
   assert.ok(fleet.refused.length <= fleet.served.length / 100, `${fleet.refused.length} refused, ${fleet.served.length} served`)
 })
 
@@ -69,7 +69,7 @@
 test('requests that run beside it are still served', async () => {
   const random = createSeededRandom(8)
   const fleet = new QuarantineFleet({ hosts: 8, targets: 14, random, poisonPerSecond: 6, hotPaths: 10, hotPerSecond: 10 })
-  await fleet.run(DAY_MS)
+  await fleet.run(RUN_MS)
   const refused = fleet.refused.filter(({ url }) => url !== '/poison')
   assert.ok(refused.length <= fleet.served.length / 100, `${refused.length} refused, ${fleet.served.length} served`)
 })
--- a/packages/almondrelay-gateway/src/process/quarantine/__tests__/suspect.test.ts
+++ b/packages/almondrelay-gateway/src/process/quarantine/__tests__/suspect.test.ts
@@ -10,8 +10,8 @@
   suspect.merge({ ended, cleared }, 0)
   return suspect
 }
-const lives = fc.uniqueArray(fc.integer({ min: 0, max: 9 }), { maxLength: 8 })
-const word = fc.record({ fingerprint: fc.constant('f'), organisation: fc.constant('school'), ended: lives, cleared: lives })
+const incarnations = fc.uniqueArray(fc.integer({ min: 0, max: 9 }), { maxLength: 8 })
+const state = fc.record({ fingerprint: fc.constant('f'), organisation: fc.constant('school'), ended: incarnations, cleared: incarnations })
 
 test('three exits quarantine a request, one exit reported twice does not', () => {
   const suspect = makeSuspect([1, 2])
@@ -23,9 +23,9 @@
 
 // Guards against hosts that disagree permanently because datagrams arrived late, twice or in another order.
 test('reports in any order and number lead every host to the same state', () => {
-  fc.assert(fc.property(fc.array(word, { maxLength: 6 }), fc.func(fc.integer()), (words, order) => {
-    const shuffled = [...words, ...words].sort((one, other) => order(one) - order(other))
-    const [first, second] = [words, shuffled].map((list: readonly SuspectState[]) => {
+  fc.assert(fc.property(fc.array(state, { maxLength: 6 }), fc.func(fc.integer()), (states, order) => {
+    const shuffled = [...states, ...states].sort((one, other) => order(one) - order(other))
+    const [first, second] = [states, shuffled].map((list: readonly SuspectState[]) => {
       const suspect = makeSuspect()
       for (const each of list) suspect.merge(each, 0)
       const { ended, cleared } = suspect.describe()
@@ -41,7 +41,7 @@
   suspect.clear(0)
   assert.not(suspect.isQuarantined)
   suspect.merge({ ended: [1, 2, 3], cleared: [] }, 1)
-  assert.is(suspect.countEnds(), 0)
+  assert.is(suspect.countExits(), 0)
   suspect.merge({ ended: [4, 5, 6], cleared: [] }, 2)
   assert.ok(suspect.isQuarantined)
 })
@@ -68,9 +68,9 @@
 // Guards against one request filling the memory of all hosts with the target exits that it caused.
 test('the number of kept incarnations is bounded, and the request stays quarantined', () => {
   const suspect = makeSuspect()
-  for (let life = 0; life < 1_000; life += 1) {
-    suspect.merge({ ended: [life], cleared: [] }, 0)
-    if (life === 50) suspect.clear(0)
+  for (let incarnation = 0; incarnation < 1_000; incarnation += 1) {
+    suspect.merge({ ended: [incarnation], cleared: [] }, 0)
+    if (incarnation === 50) suspect.clear(0)
   }
   assert.ok(suspect.describe().ended.length <= 24)
   assert.ok(suspect.isQuarantined)
--- a/packages/almondrelay-gateway/src/process/quarantine/__tests__/suspectExchange.test.ts
+++ b/packages/almondrelay-gateway/src/process/quarantine/__tests__/suspectExchange.test.ts
@@ -15,14 +15,14 @@
 const test = suite('SuspectExchange')
 const SEED = 20_261_203
 const FINGERPRINT = 'ab'.repeat(16)
-const WORD: SuspectState = { fingerprint: FINGERPRINT, organisation: 'school', ended: [1, 0xffffffff], cleared: [1] }
+const STATE: SuspectState = { fingerprint: FINGERPRINT, organisation: 'school', ended: [1, 0xffffffff], cleared: [1] }
 const makeEntry = (name: string, availabilityZone: string): HostEntry => ({ name, incarnation: 'i1', availabilityZone, region: 'akl', ip: `10.0.0.${name.charCodeAt(0)}`, callerPort: 1, peerPort: 2 })
 const ENTRIES = [...['a', 'b', 'c', 'd'].map((name) => makeEntry(name, 'one')), ...['x', 'y', 'z'].map((name) => makeEntry(name, 'two'))]
 
 /** Host a of zone one, with the reports that it sends. */
 class ExchangeRig {
   readonly sent: Array<{ to: string, report: SuspectReport }> = []
-  readonly heard: SuspectState[] = []
+  readonly received: SuspectState[] = []
   readonly slept: number[] = []
   readonly owner = new AbortController()
   /** Whether the port is closed, as when the host ends; sending then throws. */
@@ -31,7 +31,7 @@
   private readonly fleet = new FleetState({ targetRemoved: () => undefined, targetRestarted: () => undefined, hostRemoved: () => undefined })
   readonly exchange: SuspectExchange
 
-  constructor (isNews = true) {
+  constructor (isNew = true) {
     for (const entry of ENTRIES) this.fleet.putHost(entry)
     this.fleet.isComplete = true
     const socket = {
@@ -48,43 +48,43 @@
       socket,
       getNow: () => 0,
       sleep: (ms) => { this.slept.push(ms); return Promise.resolve() },
-      hear: (word) => { this.heard.push(word); return isNews }
+      receiveState: (state) => { this.received.push(state); return isNew }
     }, this.owner.signal)
   }
 
-  hear (report: Partial<SuspectReport>, ip = ENTRIES[4]?.ip as string): void {
-    this.exchange.handleReport({ host: 'x', incarnation: 'i1', suspects: [WORD], passesOn: true, ...report }, ip)
+  receive (report: Partial<SuspectReport>, ip = ENTRIES[4]?.ip as string): void {
+    this.exchange.handleReport({ host: 'x', incarnation: 'i1', suspects: [STATE], passesOn: true, ...report }, ip)
   }
 }
 
 test('announcements are sent several times to the own zone and to the aggregating hosts of the others', async () => {
   const rig = new ExchangeRig()
   const suspect = new Suspect(FINGERPRINT, 'school')
-  suspect.merge(WORD, 0)
+  suspect.merge(STATE, 0)
   rig.exchange.announce(suspect)
   await new Promise((resolve) => { setImmediate(resolve) })
   assert.equal([...new Set(rig.sent.map(({ to, report }) => `${to} ${report.passesOn}`))].sort(), ['b false', 'c false', 'd false', 'x true', 'y true'])
   assert.is(rig.sent.filter(({ to }) => to === 'b').length, 3)
-  assert.equal(rig.sent[0]?.report.suspects, [{ ...WORD, ended: [1, 0xffffffff] }])
+  assert.equal(rig.sent[0]?.report.suspects, [{ ...STATE, ended: [1, 0xffffffff] }])
 })
 
 test('a report from another zone is passed on to the own one, but only once', () => {
   const rig = new ExchangeRig()
-  rig.hear({})
+  rig.receive({})
   assert.equal(rig.sent.map(({ to, report }) => `${to} ${report.passesOn}`), ['b false', 'c false', 'd false'])
   const informed = new ExchangeRig(false)
-  informed.hear({})
+  informed.receive({})
   assert.equal(informed.sent, [])
 })
 
 // Guards against anybody on the network getting a customer's request quarantined with a datagram.
 test('a report counts only from the current incarnation and address of its sender', () => {
   const rig = new ExchangeRig()
-  rig.hear({ host: 'nobody' })
-  rig.hear({ incarnation: 'i0' })
-  rig.hear({}, '10.0.0.9')
-  rig.hear({ host: 'a' }, '10.0.0.97')
-  assert.equal(rig.heard, [])
+  rig.receive({ host: 'nobody' })
+  rig.receive({ incarnation: 'i0' })
+  rig.receive({}, '10.0.0.9')
+  rig.receive({ host: 'a' }, '10.0.0.97')
+  assert.equal(rig.received, [])
 })
 
 // Guards against the exit of a target with a thousand requests saturating the links between all hosts.
@@ -108,11 +108,11 @@
 })
 
 test('a datagram that is not a valid report is ignored', () => {
-  const report = { host: 'a', incarnation: 'i1', suspects: [WORD], passesOn: false }
+  const report = { host: 'a', incarnation: 'i1', suspects: [STATE], passesOn: false }
   assert.is(decodeDatagram(encodeSuspectReport(report))?.kind, 'suspects')
   assert.is(decodeDatagram(encodeSuspectReport({ ...report, host: '' })), undefined)
-  assert.is(decodeDatagram(encodeSuspectReport({ ...report, suspects: [{ ...WORD, fingerprint: 'x' }] })), undefined)
-  assert.is(decodeDatagram(encodeSuspectReport({ ...report, suspects: [{ ...WORD, ended: new Array<number>(65).fill(1) }] })), undefined)
+  assert.is(decodeDatagram(encodeSuspectReport({ ...report, suspects: [{ ...STATE, fingerprint: 'x' }] })), undefined)
+  assert.is(decodeDatagram(encodeSuspectReport({ ...report, suspects: [{ ...STATE, ended: new Array<number>(65).fill(1) }] })), undefined)
   const bytes = Buffer.from(encodeSuspectReport(report))
   fc.assert(fc.property(fc.nat(bytes.length - 1), fc.integer({ min: 0, max: 255 }), (index, value) => {
     const changed = Buffer.from(bytes)
--- a/packages/almondrelay-gateway/src/process/quarantine/__tests__/suspectStore.test.ts
+++ b/packages/almondrelay-gateway/src/process/quarantine/__tests__/suspectStore.test.ts
@@ -23,7 +23,7 @@
     getNow: () => 0,
     random: () => 0,
     sleep: () => new Promise((resolve) => { setImmediate(resolve) }),
-    adopt: (record, revision) => { suspect.adoptRecord(record, revision, 0) }
+    adoptRecord: (record, revision) => { suspect.adoptRecord(record, revision, 0) }
   }, new AbortController().signal)
   return { suspect, suspects }
 }
--- a/packages/almondrelay-gateway/src/process/quarantine/createQuarantine.ts
+++ b/packages/almondrelay-gateway/src/process/quarantine/createQuarantine.ts
@@ -26,8 +26,8 @@
 /** Creates the quarantine of a host with its exchange with peers and its access to the store, both of which end with the signal. */
 export function createQuarantine (options: QuarantineOptions, signal: AbortSignal): { quarantine: Quarantine, exchange: SuspectExchange } {
   const { getNow } = options
-  const exchange: SuspectExchange = new SuspectExchange({ ...options, sleep: sleepFor, hear: (word, now) => quarantine.hear(word, now) }, signal)
-  const store = new SuspectStore({ ...options, sleep: sleepFor, adopt: (record, revision) => { quarantine.adoptRecord(record, revision, getNow()) } }, signal)
+  const exchange: SuspectExchange = new SuspectExchange({ ...options, sleep: sleepFor, receiveState: (state, now) => quarantine.receiveState(state, now) }, signal)
+  const store = new SuspectStore({ ...options, sleep: sleepFor, adoptRecord: (record, revision) => { quarantine.adoptRecord(record, revision, getNow()) } }, signal)
   const quarantine: Quarantine = new Quarantine({ ...options, exchange, store })
   return { quarantine, exchange }
 }
--- a/packages/almondrelay-gateway/src/process/quarantine/quarantine.ts
+++ b/packages/almondrelay-gateway/src/process/quarantine/quarantine.ts
@@ -5,21 +5,21 @@
 import type { Suspect } from './suspect.js'
 import type { SuspectExchange } from './suspectExchange.js'
 import { SuspectTable } from './suspectTable.js'
-import type { SuspectName } from './suspectName.js'
+import type { SuspectId } from './suspectId.js'
 import type { SuspectRecord } from './suspectRecord.js'
 import type { SuspectStore } from './suspectStore.js'
 import type { SuspectState } from './suspectState.js'
-import { TargetEndTracker } from './targetEndTracker.js'
+import { TargetExitTracker } from './targetExitTracker.js'
 
 /** Number of target exits from which on a suspect's record is written: with a single one, another request nearly always caused the exit. */
-const ENDS_TO_SAVE = 2
+const MIN_EXITS_TO_SAVE = 2
 /** Milliseconds after the quarantine of a request for which a host leaves writing its record to the hosts that observed the exits. */
-const KEEP_AFTER_MS = 2_000
+const RENEWAL_DELAY_MS = 2_000
 /** Milliseconds before a host claims again a trial that it was not granted. */
-const CLAIM_PAUSE_MS = 2_000
+const CLAIM_INTERVAL_MS = 2_000
 /** Bounds of the Retry-After of a quarantined request in milliseconds, before jitter. */
-const SHORTEST_RETRY_MS = 1_000
-const LONGEST_RETRY_MS = 60_000
+const MIN_RETRY_AFTER_MS = 1_000
+const MAX_RETRY_AFTER_MS = 60_000
 
 interface QuarantineParts {
   exchange: Pick<SuspectExchange, 'announce'>
@@ -37,40 +37,40 @@
  */
 export class Quarantine {
   private readonly suspects = new SuspectTable()
-  private readonly targetEnds = new TargetEndTracker((target, name, now) => { this.recordEnd(target, name, now) })
+  private readonly exitTracker = new TargetExitTracker((target, suspectId, now) => { this.recordExit(target, suspectId, now) })
 
   constructor (private readonly parts: QuarantineParts) {}
 
-  isQuarantined (name: RequestFingerprint): boolean {
-    return this.suspects.match(name)?.isQuarantined === true
+  isQuarantined (fingerprint: RequestFingerprint): boolean {
+    return this.suspects.match(fingerprint)?.isQuarantined === true
   }
 
-  computeRetryAfter (name: RequestFingerprint, now: number): number {
-    const leftMs = (this.suspects.match(name)?.trialAt ?? now) - now
-    return Math.min(LONGEST_RETRY_MS, Math.max(SHORTEST_RETRY_MS, leftMs)) * (1 + this.parts.random() / 2)
+  computeRetryAfter (fingerprint: RequestFingerprint, now: number): number {
+    const leftMs = (this.suspects.match(fingerprint)?.trialAt ?? now) - now
+    return Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, leftMs)) * (1 + this.parts.random() / 2)
   }
 
   /** Claims a trial of a quarantined request if the trial delay is over. Returns true on at most one host after each delay. */
-  async claimTrial (name: RequestFingerprint, now: number): Promise<boolean> {
-    const suspect = this.suspects.match(name)
+  async claimTrial (fingerprint: RequestFingerprint, now: number): Promise<boolean> {
+    const suspect = this.suspects.match(fingerprint)
     if (suspect === undefined || !suspect.isQuarantined) return false
     suspect.touchedAt = now
-    if (now - suspect.quarantinedAt >= KEEP_AFTER_MS) this.parts.store.keep(suspect)
+    if (now - suspect.quarantinedAt >= RENEWAL_DELAY_MS) this.parts.store.keep(suspect)
     if (now < suspect.trialAt) return false
-    suspect.trialAt = now + CLAIM_PAUSE_MS
+    suspect.trialAt = now + CLAIM_INTERVAL_MS
     const isGranted = await this.parts.store.claimTrial(suspect)
     if (isGranted) this.report('trial of a quarantined request', suspect)
     return isGranted
   }
 
   /** Records a request that was written to a target and that will get no whole answer from it. */
-  observeUnanswered (target: TargetState, name: SuspectName, now: number): void {
-    this.targetEnds.observeUnanswered(target, name, now)
+  observeUnanswered (target: TargetState, suspectId: SuspectId, now: number): void {
+    this.exitTracker.observeUnanswered(target, suspectId, now)
   }
 
   /** Records the exit of a target's process. */
-  observeTargetEnd (target: TargetState, now: number): void {
-    this.targetEnds.observeEnd(target, now)
+  observeTargetExit (target: TargetState, now: number): void {
+    this.exitTracker.observeExit(target, now)
   }
 
   /**
@@ -78,9 +78,9 @@
    *
    * @param unansweredBy targets that left the request unanswered before, and whose exits may not have been observed yet
    */
-  observeAnswer (name: RequestFingerprint, unansweredBy: readonly TargetState[], now: number): void {
-    for (const target of unansweredBy) this.targetEnds.dropUnanswered(target, name.text)
-    const suspect = this.suspects.match(name)
+  observeAnswer (fingerprint: RequestFingerprint, unansweredBy: readonly TargetState[], now: number): void {
+    for (const target of unansweredBy) this.exitTracker.dropUnanswered(target, fingerprint.text)
+    const suspect = this.suspects.match(fingerprint)
     if (suspect !== undefined) this.clear(suspect, now)
   }
 
@@ -92,8 +92,8 @@
   }
 
   /** Merges the state that another host sent. Returns false if nothing in it is new. */
-  hear (word: SuspectState, now: number): boolean {
-    return this.update(word, now, (suspect) => suspect.merge(word, now))
+  receiveState (state: SuspectState, now: number): boolean {
+    return this.update(state, now, (suspect) => suspect.merge(state, now))
   }
 
   /** Merges a record of the store. */
@@ -109,26 +109,26 @@
 
   /** Lists the requests that were running when targets exited, without a whole answer since. */
   list (): Suspect[] {
-    return this.suspects.list().filter((suspect) => suspect.countEnds() > 0)
+    return this.suspects.list().filter((suspect) => suspect.countExits() > 0)
   }
 
-  private recordEnd (target: TargetState, name: SuspectName, now: number): void {
-    const isNew = this.update(name, now, (suspect) => suspect.merge({ ended: [target.incarnationHash], cleared: [] }, now))
-    const suspect = this.suspects.find(name.fingerprint)
+  private recordExit (target: TargetState, suspectId: SuspectId, now: number): void {
+    const isNew = this.update(suspectId, now, (suspect) => suspect.merge({ ended: [target.incarnationHash], cleared: [] }, now))
+    const suspect = this.suspects.find(suspectId.fingerprint)
     if (!isNew || suspect === undefined) return
-    this.parts.log.record('target exited while running a request', { ...name, target: target.entry.id, ends: suspect.countEnds() })
+    this.parts.log.record('target exited while running a request', { ...suspectId, target: target.entry.id, ends: suspect.countExits() })
     this.parts.exchange.announce(suspect)
-    if (suspect.countEnds() >= ENDS_TO_SAVE) this.parts.store.save(suspect)
+    if (suspect.countExits() >= MIN_EXITS_TO_SAVE) this.parts.store.save(suspect)
   }
 
   private clear (suspect: Suspect, now: number): void {
-    if (suspect.countEnds() === 0) return
+    if (suspect.countExits() === 0) return
     this.update(suspect, now, () => { suspect.clear(now); return true })
     this.parts.exchange.announce(suspect)
     if (suspect.recordRevision !== undefined) this.parts.store.save(suspect)
   }
 
-  private update ({ fingerprint, organisation }: SuspectName, now: number, change: (suspect: Suspect) => boolean): boolean {
+  private update ({ fingerprint, organisation }: SuspectId, now: number, change: (suspect: Suspect) => boolean): boolean {
     const suspect = this.suspects.touch(fingerprint, organisation, now)
     const wasQuarantined = suspect.isQuarantined
     const isNew = change(suspect)
--- a/packages/almondrelay-gateway/src/process/quarantine/requestFingerprint.ts
+++ b/packages/almondrelay-gateway/src/process/quarantine/requestFingerprint.ts
@@ -13,8 +13,8 @@
  * Requests of different organisations never share one. Computed on first access.
  */
 export class RequestFingerprint {
-  private knownPrefix: string | undefined
-  private knownText: string | undefined
+  private cachedPrefix: string | undefined
+  private cachedText: string | undefined
 
   constructor (private readonly request: CallerRequest) {}
 
@@ -25,20 +25,20 @@
 
   /** Leading digits, computed without reading the body. */
   get prefix (): string {
-    this.knownPrefix ??= computeHash(this.describeHead()).toString(16).padStart(PREFIX_DIGITS, '0')
-    return this.knownPrefix
+    this.cachedPrefix ??= computeHash(this.describeHead()).toString(16).padStart(PREFIX_DIGITS, '0')
+    return this.cachedPrefix
   }
 
   get text (): string {
-    this.knownText ??= this.prefix + createHash('sha256').update(`${this.describeHead()}\n`).update(this.request.body).digest('hex').slice(0, DIGITS - PREFIX_DIGITS)
-    return this.knownText
+    this.cachedText ??= this.prefix + createHash('sha256').update(`${this.describeHead()}\n`).update(this.request.body).digest('hex').slice(0, DIGITS - PREFIX_DIGITS)
+    return this.cachedText
   }
 
   static getPrefix (text: string): string {
     return text.slice(0, PREFIX_DIGITS)
   }
 
-  static isText (text: string): boolean {
+  static isValid (text: string): boolean {
     return text.length === DIGITS && /^[0-9a-f]+$/.test(text)
   }
 
--- a/packages/almondrelay-gateway/src/process/quarantine/requestGate.ts
+++ b/packages/almondrelay-gateway/src/process/quarantine/requestGate.ts
@@ -22,13 +22,13 @@
   }
 
   /** Whether the request must not be sent: it is quarantined and has been granted no trial. */
-  get isClosed (): boolean {
+  get isBlocked (): boolean {
     return !this.isTrial && this.quarantine.isQuarantined(this.name)
   }
 
   /** Whether the request may be sent to one more target. A trial is sent only once. */
   allowSend (sends: number): boolean {
-    return this.isTrial ? sends === 0 : !this.isClosed
+    return this.isTrial ? sends === 0 : !this.isBlocked
   }
 
   /** Claims a trial of the quarantined request if one is due. */
--- a/packages/almondrelay-gateway/src/process/quarantine/suspect.ts
+++ b/packages/almondrelay-gateway/src/process/quarantine/suspect.ts
@@ -3,19 +3,19 @@
 import type { SuspectState } from './suspectState.js'
 
 /** Number of target exits while running a request, without a whole answer since, from which on the request is quarantined. */
-const ENDS_TO_QUARANTINE = 3
+const MIN_EXITS_TO_QUARANTINE = 3
 /** Maximum number of target incarnations that are kept for one request. */
-const MOST_LIVES = 24
+const MAX_INCARNATIONS = 24
 /**
  * Minimum milliseconds from the quarantine, or from the last trial, to the next trial, by the number of trials so far. The first trials
  * come soon: a request that many callers send may have been running at three targets that exited for another reason, and its answer
  * ends the quarantine.
  */
-const TRIAL_PAUSES_MS = [2_000, 15_000, 600_000]
+const TRIAL_DELAYS_MS = [2_000, 15_000, 600_000]
 /** The same for every further trial. */
-const LONGEST_TRIAL_PAUSE_MS = 3_600_000
+const FINAL_TRIAL_DELAY_MS = 3_600_000
 /** Maximum extension of a delay, as a share of it: requests that were quarantined together would otherwise be tried together. */
-const PAUSE_SPREAD = 0.5
+const MAX_TRIAL_DELAY_JITTER = 0.5
 const HASH_RANGE = 2 ** 32
 
 /** A request that was running when targets exited, as one host knows it. */
@@ -32,29 +32,29 @@
   /** Monotonic milliseconds at which this host learnt that the record was written. */
   recordedAt = -Infinity
   /** Position of the fingerprint's hash in [0, 1), the same on all hosts; scales the extension of trial delays. */
-  private readonly place: number
+  private readonly jitter: number
   private readonly ended = new Set<number>()
   private readonly cleared = new Set<number>()
 
   constructor (readonly fingerprint: string, readonly organisation: string) {
-    this.place = computeHash(fingerprint) / HASH_RANGE
+    this.jitter = computeHash(fingerprint) / HASH_RANGE
   }
 
   /** Returns the number of target exits that no answer has cleared since. */
-  countEnds (): number {
+  countExits (): number {
     return this.ended.size - this.cleared.size
   }
 
   get isQuarantined (): boolean {
-    return this.countEnds() >= ENDS_TO_QUARANTINE
+    return this.countExits() >= MIN_EXITS_TO_QUARANTINE
   }
 
   /** Merges the state that another host knows. Returns false if nothing in it is new. */
   merge ({ ended, cleared }: Pick<SuspectState, 'ended' | 'cleared'>, now: number): boolean {
     const before = this.ended.size + this.cleared.size
     const wasQuarantined = this.isQuarantined
-    for (const life of [...ended, ...cleared]) this.addEnd(life)
-    for (const life of cleared) if (this.ended.has(life)) this.cleared.add(life)
+    for (const incarnation of [...ended, ...cleared]) this.addExit(incarnation)
+    for (const incarnation of cleared) if (this.ended.has(incarnation)) this.cleared.add(incarnation)
     if (this.isQuarantined !== wasQuarantined) this.resetTrials(now)
     return this.ended.size + this.cleared.size > before
   }
@@ -75,8 +75,8 @@
   }
 
   /** Whether a record contains everything that is known here. */
-  isWithin ({ ended, cleared }: SuspectState): boolean {
-    return [...this.ended].every((life) => ended.includes(life)) && [...this.cleared].every((life) => cleared.includes(life))
+  isContainedIn ({ ended, cleared }: SuspectState): boolean {
+    return [...this.ended].every((incarnation) => ended.includes(incarnation)) && [...this.cleared].every((incarnation) => cleared.includes(incarnation))
   }
 
   describe (): SuspectState {
@@ -85,7 +85,7 @@
 
   setTrials (trials: number, now: number): void {
     this.trials = trials
-    this.trialAt = now + (TRIAL_PAUSES_MS[trials] ?? LONGEST_TRIAL_PAUSE_MS) * (1 + PAUSE_SPREAD * this.place)
+    this.trialAt = now + (TRIAL_DELAYS_MS[trials] ?? FINAL_TRIAL_DELAY_MS) * (1 + MAX_TRIAL_DELAY_JITTER * this.jitter)
   }
 
   private resetTrials (now: number): void {
@@ -94,10 +94,10 @@
     if (!this.isQuarantined) this.trialAt = Infinity
   }
 
-  private addEnd (life: number): void {
-    if (this.ended.has(life)) return
-    if (this.ended.size >= MOST_LIVES && !this.dropCleared()) return
-    this.ended.add(life)
+  private addExit (incarnation: number): void {
+    if (this.ended.has(incarnation)) return
+    if (this.ended.size >= MAX_INCARNATIONS && !this.dropCleared()) return
+    this.ended.add(incarnation)
   }
 
   private dropCleared (): boolean {
--- a/packages/almondrelay-gateway/src/process/quarantine/suspectExchange.ts
+++ b/packages/almondrelay-gateway/src/process/quarantine/suspectExchange.ts
@@ -8,15 +8,15 @@
 import type { SuspectState } from './suspectState.js'
 
 /** Milliseconds for which suspects are collected before they are sent: a target that exits was running several requests. */
-const GATHER_MS = 10
+const BATCH_DELAY_MS = 10
 /** Number of times that each announcement is sent, because datagrams may be lost. */
-const SENDS = 3
+const SENDS_PER_ANNOUNCEMENT = 3
 /** Milliseconds between two sends of an announcement. */
-const REPEAT_MS = 400
+const RESEND_INTERVAL_MS = 400
 /** Maximum number of suspects in one datagram, so that it is not fragmented on its way. */
-const MOST_IN_REPORT = 8
+const MAX_SUSPECTS_PER_REPORT = 8
 /** Maximum rate of these reports in bytes per second, out of the 12 KB per second for all control traffic of a host. */
-const BYTES_PER_SECOND = 9_000
+const MAX_BYTES_PER_SECOND = 9_000
 
 interface ExchangeParts {
   own: HostEntry
@@ -25,7 +25,7 @@
   getNow: () => number
   sleep: (ms: number, signal: AbortSignal) => Promise<void>
   /** Merges a received state. Returns false if nothing in it is new. */
-  hear: (word: SuspectState, now: number) => boolean
+  receiveState: (state: SuspectState, now: number) => boolean
 }
 
 /**
@@ -36,42 +36,42 @@
   private readonly sendsLeft = new Map<Suspect, number>()
   private isSending = false
   /** Aborted to end the wait before the next resend as soon as there is a new announcement. */
-  private news = new AbortController()
+  private resendWait = new AbortController()
 
   constructor (private readonly parts: ExchangeParts, private readonly signal: AbortSignal) {}
 
   /** Sends the state of a suspect to all hosts, several times. */
   announce (suspect: Suspect): void {
-    this.sendsLeft.set(suspect, SENDS)
-    this.news.abort()
+    this.sendsLeft.set(suspect, SENDS_PER_ANNOUNCEMENT)
+    this.resendWait.abort()
     if (!this.isSending) void this.sendAll()
   }
 
   /** Handles a report. It counts only from the sender's current incarnation and address, because it decides which callers are refused. */
   handleReport (report: SuspectReport, ip: string): void {
-    const { view, hear, getNow } = this.parts
+    const { view, receiveState: receiveState, getNow } = this.parts
     if (view.findSender(report, ip) === undefined) return
     const now = getNow()
-    const news = report.suspects.filter((state) => hear(state, now))
-    if (news.length > 0 && report.passesOn) this.send(view.listZonePeers(now).filter(({ name }) => name !== report.host), news, false)
+    const newStates = report.suspects.filter((state) => receiveState(state, now))
+    if (newStates.length > 0 && report.passesOn) this.send(view.listZonePeers(now).filter(({ name }) => name !== report.host), newStates, false)
   }
 
   private async sendAll (): Promise<void> {
     const { sleep } = this.parts
     this.isSending = true
     while (this.sendsLeft.size > 0) {
-      await sleep(GATHER_MS, this.signal)
+      await sleep(BATCH_DELAY_MS, this.signal)
       if (this.signal.aborted) return
-      this.news = new AbortController()
+      this.resendWait = new AbortController()
       const bytes = this.sendRound()
-      await sleep(bytes / BYTES_PER_SECOND * 1_000, this.signal)
-      if (!this.hasUnsent()) await sleep(REPEAT_MS, AbortSignal.any([this.signal, this.news.signal]))
+      await sleep(bytes / MAX_BYTES_PER_SECOND * 1_000, this.signal)
+      if (!this.hasUnsent()) await sleep(RESEND_INTERVAL_MS, AbortSignal.any([this.signal, this.resendWait.signal]))
     }
     this.isSending = false
   }
 
   private sendRound (): number {
-    const due = [...this.sendsLeft.keys()].slice(0, MOST_IN_REPORT)
+    const due = [...this.sendsLeft.keys()].slice(0, MAX_SUSPECTS_PER_REPORT)
     for (const suspect of due) this.countSend(suspect)
     return this.sendToAll(due.map((suspect) => suspect.describe()), this.parts.getNow())
   }
@@ -84,7 +84,7 @@
   }
 
   private hasUnsent (): boolean {
-    return [...this.sendsLeft.values()].includes(SENDS)
+    return [...this.sendsLeft.values()].includes(SENDS_PER_ANNOUNCEMENT)
   }
 
   private sendToAll (states: readonly SuspectState[], now: number): number {
--- a/packages/almondrelay-gateway/src/process/quarantine/suspectName.ts
+++ b/packages/almondrelay-gateway/src/process/quarantine/suspectId.ts
@@ -1,4 +1,4 @@
 import type { SuspectState } from './suspectState.js'
 
 /** Identifies a suspect by its request and organisation. */
-export type SuspectName = Pick<SuspectState, 'fingerprint' | 'organisation'>
+export type SuspectId = Pick<SuspectState, 'fingerprint' | 'organisation'>
--- a/packages/almondrelay-gateway/src/process/quarantine/suspectStore.ts
+++ b/packages/almondrelay-gateway/src/process/quarantine/suspectStore.ts
@@ -7,17 +7,17 @@
 import type { SuspectRecord } from './suspectRecord.js'
 
 /** Lease of a record in milliseconds, after which it lapses unless it is written again: the longest that the platform grants. */
-const RECORD_LIFE_MS = 600_000
+const RECORD_LEASE_MS = 600_000
 /** Age of a record in milliseconds above which a call for the request renews it. */
-const RENEW_AFTER_MS = 240_000
+const RENEWAL_AGE_MS = 240_000
 /** Timeout in milliseconds for claiming a trial; the caller of the request waits meanwhile. */
 const CLAIM_TIMEOUT_MS = 500
 /** Timeout in milliseconds for writing a record. */
 const SAVE_TIMEOUT_MS = 3_000
 /** Delay in milliseconds before a failed write is retried, doubled with each failure up to the longest. */
-const RETRY = { firstMs: 300, longestMs: 2_000 }
+const RETRY_DELAY = { firstMs: 300, longestMs: 2_000 }
 /** Maximum number of records that wait to be written. */
-const MOST_WAITING = 200
+const MAX_QUEUED_RECORDS = 200
 
 interface StoreParts {
   store: RevisionStore
@@ -27,7 +27,7 @@
   random: () => number
   sleep: (ms: number, signal: AbortSignal) => Promise<void>
   /** Called with a record as it is stored. */
-  adopt: (record: SuspectRecord, revision: number) => void
+  adoptRecord: (record: SuspectRecord, revision: number) => void
 }
 
 interface CommitOutcome {
@@ -48,14 +48,14 @@
 
   /** Queues the record for writing. Writes are retried while the store is unavailable. */
   save (suspect: Suspect): void {
-    if (this.waiting.size < MOST_WAITING) this.waiting.add(suspect)
+    if (this.waiting.size < MAX_QUEUED_RECORDS) this.waiting.add(suspect)
     else this.parts.log.record('record of a suspect not written: write queue is full', { fingerprint: suspect.fingerprint })
     if (!this.isSaving) void this.saveAll()
   }
 
   /** Writes the record if none is known, or if it would lapse although the request still arrives. */
   keep (suspect: Suspect): void {
-    if (suspect.recordRevision === undefined || this.parts.getNow() - suspect.recordedAt > RENEW_AFTER_MS) this.save(suspect)
+    if (suspect.recordRevision === undefined || this.parts.getNow() - suspect.recordedAt > RENEWAL_AGE_MS) this.save(suspect)
   }
 
   /** Claims the right to send the request once. Of all hosts that claim a trial after the same delay, the store grants it to one. */
@@ -79,7 +79,7 @@
       failures = await this.trySave(suspect) ? 0 : failures + 1
       if (failures === 0) continue
       this.waiting.add(suspect)
-      await this.parts.sleep(computeRetryDelay(RETRY, failures, this.parts.random()), this.signal)
+      await this.parts.sleep(computeRetryDelay(RETRY_DELAY, failures, this.parts.random()), this.signal)
     }
     this.isSaving = false
   }
@@ -88,7 +88,7 @@
     try {
       const record = { ...suspect.describe(), trials: suspect.trials }
       const { isDone, stored } = await this.commit(suspect, record, AbortSignal.any([this.signal, AbortSignal.timeout(SAVE_TIMEOUT_MS)]))
-      return isDone || (stored !== undefined && suspect.isWithin(stored))
+      return isDone || (stored !== undefined && suspect.isContainedIn(stored))
     } catch (error) {
       if (!this.signal.aborted) this.parts.log.logError('could not write the record of a suspect; retrying', error as Error)
       return false
@@ -97,12 +97,12 @@
 
   /** Replaces the known record in the store. If another host was first, adopts the record that it wrote. */
   private async commit (suspect: Suspect, record: SuspectRecord, signal: AbortSignal): Promise<CommitOutcome> {
-    const { store, codec, adopt } = this.parts
+    const { store, codec, adoptRecord: adoptRecord } = this.parts
     const { key, value } = codec.encodeSuspect(record)
-    const leaseId = await store.grantLease(RECORD_LIFE_MS, signal)
+    const leaseId = await store.grantLease(RECORD_LEASE_MS, signal)
     const result = await store.commit({ expected: [{ key, revision: suspect.recordRevision ?? 0 }], writes: [{ key, value, leaseId }], deletes: [] }, signal)
     if (result.kind === 'done') {
-      adopt(record, result.revision)
+      adoptRecord(record, result.revision)
       return { isDone: true, stored: record }
     }
     await store.releaseLease(leaseId, signal)
@@ -115,7 +115,7 @@
       suspect.recordRevision = item?.revision
       return undefined
     }
-    this.parts.adopt(change.record, change.revision)
+    this.parts.adoptRecord(change.record, change.revision)
     return change.record
   }
 }
--- a/packages/almondrelay-gateway/src/process/quarantine/suspectTable.ts
+++ b/packages/almondrelay-gateway/src/process/quarantine/suspectTable.ts
@@ -2,9 +2,9 @@
 import { Suspect } from './suspect.js'
 
 /** Maximum number of suspects of all organisations. */
-const MOST_SUSPECTS = 2_000
+const MAX_SUSPECTS = 2_000
 /** Milliseconds without a report or call after which a suspect is dropped; longer than the lease of its record in the store. */
-const FORGET_MS = 900_000
+const RETENTION_MS = 900_000
 
 /**
  * Suspects that this host knows. The table is bounded: a full one evicts an old suspect of the organisation that has the most, so that no
@@ -40,19 +40,19 @@
   /** Drops the suspects that have not been used within the retention period. */
   expire (now: number): void {
     for (const suspect of this.list()) {
-      if (now - suspect.touchedAt > FORGET_MS) this.remove(suspect)
+      if (now - suspect.touchedAt > RETENTION_MS) this.remove(suspect)
     }
   }
 
   private add (suspect: Suspect, now: number): Suspect {
     this.expire(now)
-    if (this.suspects.size >= MOST_SUSPECTS) this.remove(this.findLeast())
+    if (this.suspects.size >= MAX_SUSPECTS) this.remove(this.findEvictionCandidate())
     const { fingerprint, organisation } = suspect
     const prefix = RequestFingerprint.getPrefix(fingerprint)
     this.suspects.set(fingerprint, suspect)
     this.prefixes.set(prefix, (this.prefixes.get(prefix) ?? 0) + 1)
-    const ofOrganisation = this.organisations.get(organisation) ?? new Set()
-    this.organisations.set(organisation, ofOrganisation.add(suspect))
+    const organisationSuspects = this.organisations.get(organisation) ?? new Set()
+    this.organisations.set(organisation, organisationSuspects.add(suspect))
     return suspect
   }
 
@@ -63,15 +63,15 @@
     if (left > 0) this.prefixes.set(prefix, left)
     else this.prefixes.delete(prefix)
     this.suspects.delete(fingerprint)
-    const ofOrganisation = this.organisations.get(organisation)
-    ofOrganisation?.delete(suspect)
-    if (ofOrganisation?.size === 0) this.organisations.delete(organisation)
+    const organisationSuspects = this.organisations.get(organisation)
+    organisationSuspects?.delete(suspect)
+    if (organisationSuspects?.size === 0) this.organisations.delete(organisation)
   }
 
   /** Returns the least recently used suspect of the organisation with the most suspects; those not quarantined go first. */
-  private findLeast (): Suspect {
-    const most = [...this.organisations.values()].reduce((one, other) => other.size > one.size ? other : one)
-    const byAge = [...most].sort((one, other) => one.touchedAt - other.touchedAt)
+  private findEvictionCandidate (): Suspect {
+    const largest = [...this.organisations.values()].reduce((one, other) => other.size > one.size ? other : one)
+    const byAge = [...largest].sort((one, other) => one.touchedAt - other.touchedAt)
     return byAge.find(({ isQuarantined }) => !isQuarantined) ?? byAge[0] as Suspect
   }
 }
