--- a/packages/almondrelay-gateway/src/process/forward/forwardState.ts
+++ b/packages/almondrelay-gateway/src/process/forward/forwardState.ts
@@ -66,7 +66,7 @@
   /** Returns the ages of the state that choices are based on, in milliseconds; undefined before the first confirmation or report. */
   describeAges (now: number): { storeAgeMs: number | undefined, peerAgeMs: number | undefined } {
     const toAge = (at: number | undefined): number | undefined => at === undefined ? undefined : Math.round(now - at)
-    return { storeAgeMs: toAge(this.fleet.confirmedAt), peerAgeMs: toAge(this.parts.peers.lastHeardAt) }
+    return { storeAgeMs: toAge(this.fleet.confirmedAt), peerAgeMs: toAge(this.parts.peers.lastReportAt) }
   }
 
   get ownRegion (): string {
--- a/packages/almondrelay-gateway/src/process/forward/requestHandler.ts
+++ b/packages/almondrelay-gateway/src/process/forward/requestHandler.ts
@@ -128,11 +128,11 @@
     const { allowances, getNow, random } = this.parts
     if (organisation === undefined) return (await serve()).answer
     const admittedAt = getNow()
-    const claim = allowances.ask(organisation.name, admittedAt)
+    const claim = allowances.claim(organisation.name, admittedAt)
     if (random() >= claim.allowedPart) return this.refuser.refuseOverAllowance(head, route, organisation, claim.allowedPart)
-    allowances.observeLetThrough(claim, admittedAt)
+    allowances.observeAdmitted(claim, admittedAt)
     const { answer, mayHaveRun } = await serve()
-    if (!mayHaveRun) allowances.releaseUse(claim, admittedAt, getNow())
+    if (!mayHaveRun) allowances.releaseClaim(claim, admittedAt, getNow())
     return answer
   }
 
--- a/packages/almondrelay-gateway/src/process/gateway.ts
+++ b/packages/almondrelay-gateway/src/process/gateway.ts
@@ -21,7 +21,7 @@
 import type { GatewayAdapter } from './gatewayAdapter.js'
 import { LookupAnswers } from './lookup/lookupAnswers.js'
 import { Allowances } from './organisations/allowances.js'
-import { UseExchange } from './organisations/useExchange.js'
+import { UsageExchange } from './organisations/usageExchange.js'
 import { AccountKeeper } from './observe/accountKeeper.js'
 import type { EventLog } from './observe/eventLog.js'
 import type { GatewayMetrics } from './observe/gatewayMetrics.js'
@@ -79,7 +79,7 @@
   private readonly exchange: PeerExchange
   private readonly socket: PeerSocket
   private readonly allowances: Allowances
-  private readonly useExchange: UseExchange
+  private readonly useExchange: UsageExchange
   private readonly suspectExchange: SuspectExchange
   private readonly quarantine: Quarantine
   private readonly handler: RequestHandler
@@ -106,7 +106,7 @@
         this.forward.abortTarget(target.entry.id)
         this.quarantine.observeTargetExit(target, getNow())
       },
-      hostRemoved: (entry) => { this.view.observeGone(entry, getNow()) }
+      hostRemoved: (entry) => { this.view.observeEntryRemoved(entry, getNow()) }
     })
     this.fleet.putHost(this.own)
     this.view = new PeerView(this.own, this.fleet)
@@ -115,9 +115,9 @@
     this.planner = new RegionPlanner({ ownRegion: this.own.region, regions, forward: this.forward, view: this.view, getNow })
     const logError = (error: Error): void => { log.logError('error on a port of this host', error) }
     this.socket = new PeerSocket(logError)
-    this.exchange = new PeerExchange({ own: this.own, fleet: this.fleet, forward: this.forward, view: this.view, socket: this.socket, getNow, isLeaving, getDeclaredRevision: () => this.desk.revision, hearRevision: (revision, notableRevision, now) => { this.follower.hearRevision(revision, notableRevision, now) }, acceptRelayed: (changes) => { this.follower.acceptRelayed(changes) }, hearWatcher: (report, now) => { this.follower.hearWatcher(report.storeRevision, report.notableRevision, report.storeAgeMs, now) } })
-    this.allowances = new Allowances({ availabilityZone: this.own.availabilityZone, windowMs: settings.bounds.allowanceWindow, startedAt: getNow(), countHosts: () => this.view.countPossibleHosts(getNow()), isSumming: (now) => this.view.isSumming(now) })
-    this.useExchange = new UseExchange({ own: this.own, view: this.view, allowances: this.allowances, socket: this.socket, getNow, sleep: sleepFor })
+    this.exchange = new PeerExchange({ own: this.own, fleet: this.fleet, forward: this.forward, view: this.view, socket: this.socket, getNow, isLeaving, getDeclaredRevision: () => this.desk.revision, receiveRevision: (revision, notableRevision, now) => { this.follower.hearRevision(revision, notableRevision, now) }, acceptRelayedChanges: (changes) => { this.follower.acceptRelayed(changes) }, receiveWatcherReport: (report, now) => { this.follower.hearWatcher(report.storeRevision, report.notableRevision, report.storeAgeMs, now) } })
+    this.allowances = new Allowances({ availabilityZone: this.own.availabilityZone, windowMs: settings.bounds.allowanceWindow, startedAt: getNow(), countHosts: () => this.view.countPossibleHosts(getNow()), isAggregator: (now) => this.view.isAggregator(now) })
+    this.useExchange = new UsageExchange({ own: this.own, view: this.view, allowances: this.allowances, socket: this.socket, getNow, sleep: sleepFor })
     const { quarantine, exchange: suspectExchange } = createQuarantine({ own: this.own, view: this.view, socket: this.socket, store: adapter.store, codec: adapter.fleet, log, metrics, getNow, random }, this.owner.signal)
     this.quarantine = quarantine
     this.suspectExchange = suspectExchange
@@ -127,7 +127,7 @@
     this.desk = new OperatorDesk({ own: this.own, availabilityZones: settings.availabilityZones, fleet: this.fleet, view: this.view, forward: this.forward, quarantine: this.quarantine, values, clock, logger: parts.logger, isLeaving }, this.owner.signal)
     this.handler = new RequestHandler({ startedAt: getNow(), staleAfterMs: settings.bounds.configurationInForce, account: this.account, allowances: this.allowances, quarantine: this.quarantine, load: this.load, memory: this.memory, callerCodec: adapter.callers, targetCodec: adapter.targets, forward: this.forward, log, metrics, getNow, random })
     this.callers = new CallerServer((message, left, arrivedAt) => this.handler.handle(message, left, arrivedAt), this.turns, this.memory, logError)
-    this.lookups = new LookupAnswers({ codec: adapter.lookups, fleet: this.fleet, view: this.view, ownRegion: this.own.region, longestLifeMs: settings.bounds.longestLookupLife, log, getNow, isLeaving })
+    this.lookups = new LookupAnswers({ codec: adapter.lookups, fleet: this.fleet, view: this.view, ownRegion: this.own.region, maxTtlMs: settings.bounds.longestLookupLife, log, getNow, isLeaving })
     this.follower = this.createFollower()
     this.announcer = new HostAnnouncer({ store: adapter.store, codec: adapter.fleet, entry: this.own, log, random })
   }
@@ -143,8 +143,8 @@
       getNow,
       random,
       ownName: this.own.name,
-      isWatcher: () => this.view.isSpeaker(getNow()),
-      isReliedOn: () => this.view.hasManyNear(),
+      isWatcher: () => this.view.isRepresentative(getNow()),
+      isReliedOn: () => this.view.isLargeRegion(),
       hasReliableWatchers: () => this.view.hasReliableWatchers(this.parts.settings.bounds.leavingInForce, getNow()),
       relay: (changes) => { if (this.view.isRelay(getNow())) this.exchange.relay(changes) },
       handleOwnEntryGone: () => { this.announcer.renewEntry() },
--- a/packages/almondrelay-gateway/src/process/lookup/lookupAnswers.ts
+++ b/packages/almondrelay-gateway/src/process/lookup/lookupAnswers.ts
@@ -9,14 +9,14 @@
  * Maximum milliseconds for which a caller may cache an answer, even if the platform allows more, so that callers soon stop using a host
  * that exits.
  */
-const ANSWER_LIFE_MS = 2_000
+const MAX_ANSWER_TTL_MS = 2_000
 
 interface AnswerParts {
   codec: LookupCodec
   fleet: FleetState
   view: PeerView
   ownRegion: string
-  longestLifeMs: number
+  maxTtlMs: number
   log: EventLog
   getNow: () => number
   isLeaving: () => boolean
@@ -38,14 +38,14 @@
   }
 
   answerLookup (path: string, query: URLSearchParams): Promise<PlainAnswer> {
-    const { codec, fleet, view, ownRegion, longestLifeMs, log, getNow } = this.parts
+    const { codec, fleet, view, ownRegion, maxTtlMs: maxTtlMs, log, getNow } = this.parts
     if (path !== codec.lookupPath) return Promise.resolve(makeAnswer(404, ''))
     if (!fleet.isComplete) return Promise.resolve(makeAnswer(503, ''))
     const region = codec.decodeRegion(query) ?? ownRegion
     const hosts = listEntryHosts(view.listLive(getNow()), region)
     log.record('look-up', { region, hosts: hosts.map(({ name }) => name) })
     if (hosts.length === 0) return Promise.resolve(makeAnswer(503, ''))
-    return Promise.resolve(makeAnswer(200, codec.encodeHosts(hosts, Math.min(ANSWER_LIFE_MS, longestLifeMs))))
+    return Promise.resolve(makeAnswer(200, codec.encodeHosts(hosts, Math.min(MAX_ANSWER_TTL_MS, maxTtlMs))))
   }
 }
 
--- a/packages/almondrelay-gateway/src/process/lookup/lookupCodec.ts
+++ b/packages/almondrelay-gateway/src/process/lookup/lookupCodec.ts
@@ -9,5 +9,5 @@
   abstract decodeRegion (query: URLSearchParams): string | undefined
 
   /** @param ttlMs milliseconds for which the caller may cache the answer */
-  abstract encodeHosts (hosts: readonly HostEntry[], lifeMs: number): string
+  abstract encodeHosts (hosts: readonly HostEntry[], ttlMs: number): string
 }
--- a/packages/almondrelay-gateway/src/process/operators/listMembers.ts
+++ b/packages/almondrelay-gateway/src/process/operators/listMembers.ts
@@ -17,12 +17,12 @@
 /** Lists the hosts of the fleet, each with the revision of the operators' resources in force there by its last received report. */
 export function listMembers ({ own, fleet, view, ownRevision, isLeaving }: MemberParts, now: number): Member[] {
   return fleet.listHosts().map((entry) => {
-    const word = entry.name === own.name ? { heardAt: now, isLeaving, declaredRevision: ownRevision } : view.findWord(entry)
+    const word = entry.name === own.name ? { receivedAt: now, isLeaving, declaredRevision: ownRevision } : view.findLastReport(entry)
     return describeMember(entry, word, now)
   })
 }
 
-const describeMember = (entry: HostEntry, word: ReturnType<PeerView['findWord']>, now: number): Member => ({
+const describeMember = (entry: HostEntry, word: ReturnType<PeerView['findLastReport']>, now: number): Member => ({
   host: entry.name,
   incarnation: Number.parseInt(entry.incarnation, 10) || 0,
   availabilityZone: entry.availabilityZone,
@@ -32,11 +32,11 @@
   revision: word?.declaredRevision ?? 0,
   loads: [],
   state: findState(word, now),
-  heardAgeMs: word === undefined ? 0 : Math.round(now - word.heardAt)
+  heardAgeMs: word === undefined ? 0 : Math.round(now - word.receivedAt)
 })
 
-const findState = (word: ReturnType<PeerView['findWord']>, now: number): MemberState => {
+const findState = (word: ReturnType<PeerView['findLastReport']>, now: number): MemberState => {
   if (word === undefined) return MemberState.unheard
   if (word.isLeaving) return MemberState.leaving
-  return now - word.heardAt <= SILENCE_MS ? MemberState.live : MemberState.suspected
+  return now - word.receivedAt <= SILENCE_MS ? MemberState.live : MemberState.suspected
 }
--- a/packages/almondrelay-gateway/src/process/organisations/__fixtures__/allowanceFleet.ts
+++ b/packages/almondrelay-gateway/src/process/organisations/__fixtures__/allowanceFleet.ts
@@ -1,11 +1,11 @@
 import { Allowances } from '../allowances.js'
-import type { UseReport } from '../useReport.js'
+import type { UsageReport } from '../usageReport.js'
 
 /** Milliseconds between two reports of a host, and between two steps of the simulation. */
-const REPORT_MS = 250
+const REPORT_INTERVAL_MS = 250
 const STEP_MS = 10
 /** Hosts of a zone that aggregate its reports. */
-const SUMMING = 2
+const AGGREGATORS_PER_ZONE = 2
 
 interface ModelHost {
   index: number
@@ -20,7 +20,7 @@
 interface Datagram {
   arrivesAt: number
   to: number
-  report: UseReport
+  report: UsageReport
 }
 
 interface FleetOptions {
@@ -72,14 +72,14 @@
   }
 
   /** Returns the largest number of requests that ran within any window. */
-  findMost (): number {
-    let most = 0
+  findMaxInWindow (): number {
+    let max = 0
     let first = 0
     for (const [last, at] of this.ran.entries()) {
       while ((this.ran[first] as number) <= at - this.options.windowMs) first += 1
-      most = Math.max(most, last - first + 1)
+      max = Math.max(max, last - first + 1)
     }
-    return most
+    return max
   }
 
   /** Counts the refused requests for which all requests of the window up to then, refused ones included, were within the limit. */
@@ -100,18 +100,18 @@
   private makeHost (index: number, startedAt: number): ModelHost {
     const { zones, hostsPerZone, windowMs, random } = this.options
     const zone = Math.floor(index / hostsPerZone)
-    const allowances = new Allowances({ availabilityZone: `z${zone}`, windowMs, startedAt, countHosts: () => zones * hostsPerZone, isSumming: () => this.isSumming(index) })
-    const host = { index, zone, startedAt, nextReportAt: this.now + random() * REPORT_MS, sequence: 0, isUp: true, allowances }
+    const allowances = new Allowances({ availabilityZone: `z${zone}`, windowMs, startedAt, countHosts: () => zones * hostsPerZone, isAggregator: () => this.isAggregator(index) })
+    const host = { index, zone, startedAt, nextReportAt: this.now + random() * REPORT_INTERVAL_MS, sequence: 0, isUp: true, allowances }
     this.setLimits(host)
     return host
   }
 
   /** Returns whether a host is among the first hosts of its zone that are up. In the simulation, all hosts notice a change at once. */
-  private isSumming (index: number): boolean {
+  private isAggregator (index: number): boolean {
     const { hostsPerZone } = this.options
     let rank = 0
     for (let other = index - index % hostsPerZone; other < index; other += 1) if (this.hosts[other]?.isUp !== false) rank += 1
-    return rank < SUMMING
+    return rank < AGGREGATORS_PER_ZONE
   }
 
   private setLimits ({ allowances }: ModelHost): void {
@@ -134,33 +134,33 @@
 
   private ask ({ allowances }: ModelHost): void {
     const { random, notRun = 0 } = this.options
-    const claim = allowances.ask(NAME, this.now)
+    const claim = allowances.claim(NAME, this.now)
     if (random() >= claim.allowedPart) {
       this.refused.push(this.now)
       return
     }
-    allowances.observeLetThrough(claim, this.now)
-    if (random() < notRun) allowances.releaseUse(claim, this.now, this.now)
+    allowances.observeAdmitted(claim, this.now)
+    if (random() < notRun) allowances.releaseClaim(claim, this.now, this.now)
     else this.ran.push(this.now)
   }
 
   private report (host: ModelHost): void {
     const { zones, hostsPerZone } = this.options
-    host.nextReportAt = this.now + REPORT_MS
+    host.nextReportAt = this.now + REPORT_INTERVAL_MS
     const { allowances, zone, index } = host
-    const totals = allowances.takeTotals()
-    const isSumming = this.isSumming(index)
-    const word = isSumming ? allowances.describeZone(this.now) : undefined
-    const fleet = word === undefined ? undefined : allowances.describeFleet(word, this.now)
+    const totals = allowances.takeChangedTotals()
+    const isAggregator = this.isAggregator(index)
+    const zoneUsage = isAggregator ? allowances.describeZone(this.now) : undefined
+    const fleet = zoneUsage === undefined ? undefined : allowances.describeFleet(zoneUsage, this.now)
     for (let other = 0; other < zones * hostsPerZone; other += 1) {
       if (other === index || this.hosts[other]?.isUp === false) continue
       if (Math.floor(other / hostsPerZone) !== zone) {
-        if (word !== undefined && this.isSumming(other)) this.send(host, other, { zone: word })
-      } else if (isSumming || this.isSumming(other)) this.send(host, other, { fleet, totals })
+        if (zoneUsage !== undefined && this.isAggregator(other)) this.send(host, other, { zone: zoneUsage })
+      } else if (isAggregator || this.isAggregator(other)) this.send(host, other, { fleet, totals })
     }
   }
 
-  private send (host: ModelHost, to: number, content: Partial<UseReport>): void {
+  private send (host: ModelHost, to: number, content: Partial<UsageReport>): void {
     const { random, loss = 0, isLinked } = this.options
     host.sequence += 1
     this.datagramsSent += 1
@@ -177,7 +177,7 @@
     this.datagrams = this.datagrams.filter(({ arrivesAt }) => arrivesAt > this.now)
     for (const { to, report } of due) {
       const host = this.hosts[to] as ModelHost
-      if (host.isUp) host.allowances.hear(report, this.now)
+      if (host.isUp) host.allowances.receiveReport(report, this.now)
     }
   }
 }
--- a/packages/almondrelay-gateway/src/process/organisations/__tests__/allowances.test.ts
+++ b/packages/almondrelay-gateway/src/process/organisations/__tests__/allowances.test.ts
@@ -26,8 +26,8 @@
   fleet.run(untilMs)
   return fleet
 }
-const isRush = (now: number): boolean => now > 10_000 && now < 18_000
-const computeWrongPart = (fleet: AllowanceFleet): number => fleet.countWronglyRefused() / (fleet.refused.length + fleet.ran.length)
+const isSurge = (now: number): boolean => now > 10_000 && now < 18_000
+const computeWronglyRefusedShare = (fleet: AllowanceFleet): number => fleet.countWronglyRefused() / (fleet.refused.length + fleet.ran.length)
 
 // Guards against splitting the limit equally among the hosts. Each of 72 hosts receives a request of a medium-sized organisation only
 // once in four seconds; with an equal split nearly all would be refused, although the organisation sends little more than half of its
@@ -37,16 +37,16 @@
 })
 
 test('at nine tenths of the limit hardly any request is refused: with even traffic, in bursts and while callers move between zones', () => {
-  const ways: Array<(rate: number) => Options['ask']> = [
+  const patterns: Array<(rate: number) => Options['ask']> = [
     (rate) => () => rate * 0.9 / HOSTS,
     (rate) => (_, now) => now % 2_200 < 1_000 ? rate * 1.98 / HOSTS : 0,
     (rate) => ({ zone }, now) => Math.floor(now / 4_000) % ZONES === zone ? rate * 0.9 / HOSTS_PER_ZONE : 0
   ]
   for (const rate of RATES) {
-    for (const way of ways) {
-      const parts = [1, 2, 3, 4].map((seed) => computeWrongPart(runFleet(rate, { ask: way(rate), random: createSeededRandom(seed) })))
-      const mean = parts.reduce((sum, part) => sum + part, 0) / parts.length
-      assert.ok(mean < REFUSED_BY_CHANCE, `${rate}: ${parts.join(', ')}`)
+    for (const pattern of patterns) {
+      const shares = [1, 2, 3, 4].map((seed) => computeWronglyRefusedShare(runFleet(rate, { ask: pattern(rate), random: createSeededRandom(seed) })))
+      const mean = shares.reduce((sum, share) => sum + share, 0) / shares.length
+      assert.ok(mean < REFUSED_BY_CHANCE, `${rate}: ${shares.join(', ')}`)
     }
   }
 })
@@ -55,9 +55,9 @@
 // each host receives so few of the requests that it would refuse none, and 75 hosts together would admit 75 times the limit.
 test('a sudden surge through all hosts, or through five, stays within the limit', () => {
   for (const rate of RATES) {
-    const all = runFleet(rate, { ask: (_, now) => rate * (isRush(now) ? 4.7 : 0.625) / HOSTS })
-    const few = runFleet(rate, { ask: ({ index }, now) => rate * 0.625 / HOSTS + (isRush(now) && index < 5 ? rate * 4 / 5 : 0) })
-    for (const fleet of [all, few]) assert.ok(fleet.findMost() <= computeBound(rate), `${rate}: ${fleet.findMost()}`)
+    const all = runFleet(rate, { ask: (_, now) => rate * (isSurge(now) ? 4.7 : 0.625) / HOSTS })
+    const few = runFleet(rate, { ask: ({ index }, now) => rate * 0.625 / HOSTS + (isSurge(now) && index < 5 ? rate * 4 / 5 : 0) })
+    for (const fleet of [all, few]) assert.ok(fleet.findMaxInWindow() <= computeBound(rate), `${rate}: ${fleet.findMaxInWindow()}`)
   }
 })
 
@@ -65,11 +65,11 @@
 // window never fills: the organisation gets four fifths of its limit, while its callers are told that it has used all of it.
 test('an organisation that constantly exceeds its limit gets nearly all of the limit', () => {
   for (const rate of RATES) {
-    for (const rush of [1.5, 2.5, 4.7]) {
-      const fleets = [1, 2, 3].map((seed) => runFleet(rate, { ask: (_, now) => rate * (isRush(now) ? rush : 0.625) / HOSTS, random: createSeededRandom(seed) }))
+    for (const surge of [1.5, 2.5, 4.7]) {
+      const fleets = [1, 2, 3].map((seed) => runFleet(rate, { ask: (_, now) => rate * (isSurge(now) ? surge : 0.625) / HOSTS, random: createSeededRandom(seed) }))
       const ran = fleets.reduce((sum, fleet) => sum + fleet.ran.filter((at) => at > 13_000 && at <= 18_000).length, 0) / fleets.length
       assert.ok(ran >= (rate * 5 + rate) * 0.9, `${rate}: ${ran} of ${rate * 6}`)
-      for (const fleet of fleets) assert.ok(fleet.findMost() <= computeBound(rate), `${rate}: ${fleet.findMost()}`)
+      for (const fleet of fleets) assert.ok(fleet.findMaxInWindow() <= computeBound(rate), `${rate}: ${fleet.findMaxInWindow()}`)
     }
   }
 })
@@ -78,12 +78,12 @@
 // callers. Each receives no reports, and without a reduced limit would admit as many requests as all hosts together may.
 test('isolated hosts and the remaining hosts together stay within the limit', () => {
   for (const rate of RATES) {
-    for (const rushAt of [5_000, 9_000]) {
+    for (const surgeAt of [5_000, 9_000]) {
       const fleet = runFleet(rate, {
-        ask: (_, now) => rate * (now > rushAt ? 4.7 : 0.625) / HOSTS,
+        ask: (_, now) => rate * (now > surgeAt ? 4.7 : 0.625) / HOSTS,
         isLinked: (from, to, now) => now <= 8_000 || (from % 3 !== 0 && to % 3 !== 0)
       })
-      assert.ok(fleet.findMost() <= computeBound(rate), `${rate}: ${fleet.findMost()}`)
+      assert.ok(fleet.findMaxInWindow() <= computeBound(rate), `${rate}: ${fleet.findMaxInWindow()}`)
     }
   }
 })
@@ -93,8 +93,8 @@
 test('hosts that restart at the peak of a surge stay within the limit, and hardly refuse requests at the usual rate', () => {
   const isDown = (index: number, now: number): boolean => now > 13_000 && now < 14_000 + index * 10
   for (const rate of RATES) {
-    assert.ok(runFleet(rate, { ask: (_, now) => rate * (now > 9_000 ? 4.7 : 0.625) / HOSTS, isDown }).findMost() <= computeBound(rate), String(rate))
-    assert.ok(computeWrongPart(runFleet(rate, { ask: () => rate * 0.625 / HOSTS, isDown })) < 0.01, String(rate))
+    assert.ok(runFleet(rate, { ask: (_, now) => rate * (now > 9_000 ? 4.7 : 0.625) / HOSTS, isDown }).findMaxInWindow() <= computeBound(rate), String(rate))
+    assert.ok(computeWronglyRefusedShare(runFleet(rate, { ask: () => rate * 0.625 / HOSTS, isDown })) < 0.01, String(rate))
   }
 })
 
@@ -106,7 +106,7 @@
       ask: (_, now) => rate * (now > 9_000 ? 4.7 : 0.625) / HOSTS,
       isDown: (index, now) => index % HOSTS_PER_ZONE < 2 && now > 13_000 && now < 14_000
     })
-    assert.ok(fleet.findMost() <= computeBound(rate), `${rate}: ${fleet.findMost()}`)
+    assert.ok(fleet.findMaxInWindow() <= computeBound(rate), `${rate}: ${fleet.findMaxInWindow()}`)
   }
 })
 
@@ -119,20 +119,20 @@
       ask: (_, now) => rate * (now > 9_000 ? 4.7 : 0.625) / HOSTS,
       isDown: (index, now) => index % HOSTS_PER_ZONE < 2 && now > 13_000
     })
-    assert.ok(fleet.findMost() <= computeBound(rate), `${rate}: ${fleet.findMost()}`)
+    assert.ok(fleet.findMaxInWindow() <= computeBound(rate), `${rate}: ${fleet.findMaxInWindow()}`)
   }
 })
 
 test('lost, late and duplicated datagrams neither add to the usage nor hide it', () => {
   for (const rate of RATES) {
-    const fleet = runFleet(rate, { ask: (_, now) => rate * (isRush(now) ? 4.7 : 0.625) / HOSTS, loss: 0.2 })
-    assert.ok(fleet.findMost() <= computeBound(rate), `${rate}: ${fleet.findMost()}`)
+    const fleet = runFleet(rate, { ask: (_, now) => rate * (isSurge(now) ? 4.7 : 0.625) / HOSTS, loss: 0.2 })
+    assert.ok(fleet.findMaxInWindow() <= computeBound(rate), `${rate}: ${fleet.findMaxInWindow()}`)
   }
 })
 
 test('admitted requests that are not run are released', () => {
   const fleet = runFleet(60, { ask: () => 60 * 1.25 / HOSTS, notRun: 0.3 })
-  assert.ok(computeWrongPart(fleet) < REFUSED_BY_CHANCE, String(computeWrongPart(fleet)))
+  assert.ok(computeWronglyRefusedShare(fleet) < REFUSED_BY_CHANCE, String(computeWronglyRefusedShare(fleet)))
 })
 
 test('a limit that is lowered far below the usage takes effect within a window', () => {
@@ -152,28 +152,28 @@
 })
 
 test('requests of an organisation without a limit are never refused and never counted', () => {
-  const allowances = new Allowances({ availabilityZone: 'z', windowMs: WINDOW_MS, startedAt: 0, countHosts: () => 1, isSumming: () => true })
+  const allowances = new Allowances({ availabilityZone: 'z', windowMs: WINDOW_MS, startedAt: 0, countHosts: () => 1, isAggregator: () => true })
   allowances.setOrganisations([{ name: 'school', keys: [], priority: 0, ratePerSecond: 0, burst: 0, allowedRegions: [] }])
-  assert.not(allowances.areNeeded)
-  assert.is(allowances.ask('school', 1).allowedPart, 1)
-  assert.is(allowances.takeTotals().size, 0)
+  assert.not(allowances.hasLimits)
+  assert.is(allowances.claim('school', 1).allowedPart, 1)
+  assert.is(allowances.takeChangedTotals().size, 0)
 })
 
 // Guards against a total below zero, which can't be encoded in a report and made the host exit. Requests are in progress when the
 // operators set a limit for their organisation. They end without having been run, and were then subtracted from a count to which they
 // had never been added.
 test('requests admitted without a limit aren\'t released from a limit that was set later, nor from one that was removed and set again', () => {
-  const allowances = new Allowances({ availabilityZone: 'z', windowMs: WINDOW_MS, startedAt: 0, countHosts: () => 1, isSumming: () => true })
+  const allowances = new Allowances({ availabilityZone: 'z', windowMs: WINDOW_MS, startedAt: 0, countHosts: () => 1, isAggregator: () => true })
   const setRate = (ratePerSecond: number): void => { allowances.setOrganisations([{ name: 'school', keys: [], priority: 0, ratePerSecond, burst: 5, allowedRegions: [] }]) }
   for (const [before, after] of [[0, 10], [10, 0]] as const) {
     setRate(before)
-    const claim = allowances.ask('school', 10_000)
-    allowances.observeLetThrough(claim, 10_000)
+    const claim = allowances.claim('school', 10_000)
+    allowances.observeAdmitted(claim, 10_000)
     setRate(after)
     setRate(10)
-    allowances.ask('school', 10_001)
-    allowances.releaseUse(claim, 10_000, 10_002)
-    for (const { letThrough } of allowances.takeTotals().values()) assert.ok(letThrough >= 0)
+    allowances.claim('school', 10_001)
+    allowances.releaseClaim(claim, 10_000, 10_002)
+    for (const { letThrough } of allowances.takeChangedTotals().values()) assert.ok(letThrough >= 0)
   }
 })
 
--- a/packages/almondrelay-gateway/src/process/organisations/__tests__/useExchange.test.ts
+++ b/packages/almondrelay-gateway/src/process/organisations/__tests__/usageExchange.test.ts
@@ -7,22 +7,22 @@
 import type { PeerSocket } from '../../peers/peerSocket.js'
 import { PeerView } from '../../peers/peerView.js'
 import { Allowances } from '../allowances.js'
-import { encodeUseReport } from '../encodeUseReport.js'
-import { UseExchange } from '../useExchange.js'
-import type { UseReport } from '../useReport.js'
+import { encodeUsageReport } from '../encodeUsageReport.js'
+import { UsageExchange } from '../usageExchange.js'
+import type { UsageReport } from '../usageReport.js'
 
 const test = suite('UsageExchange')
 const SEED = 20_261_203
 const SCHOOL = { name: 'school', keys: ['key-of-school'], priority: 0, ratePerSecond: 10, burst: 0, allowedRegions: [] }
 
 const makeEntry = (name: string, availabilityZone: string): HostEntry => ({ name, incarnation: 'i1', availabilityZone, region: 'akl', ip: `10.0.0.${name.length}${name.charCodeAt(0)}`, callerPort: 1, peerPort: 2 })
-const makeReport = (content: Partial<UseReport> = {}): UseReport => ({ host: 'a', incarnation: 'i1', availabilityZone: 'one', sequence: 1, totals: new Map(), zone: undefined, fleet: undefined, ...content })
+const makeReport = (content: Partial<UsageReport> = {}): UsageReport => ({ host: 'a', incarnation: 'i1', availabilityZone: 'one', sequence: 1, totals: new Map(), zone: undefined, fleet: undefined, ...content })
 
 /** One host in a fleet of two zones. Records the reports that it sends and their receivers. */
-class UseRig {
-  readonly sent: Array<{ to: string, report: UseReport }> = []
+class UsageRig {
+  readonly sent: Array<{ to: string, report: UsageReport }> = []
   readonly allowances: Allowances
-  readonly exchange: UseExchange
+  readonly exchange: UsageExchange
   now = 10_000
   sleep: (ms: number) => Promise<void> = () => Promise.resolve()
   private readonly fleet = new FleetState({ targetRemoved: () => undefined, targetRestarted: () => undefined, hostRemoved: () => undefined })
@@ -33,7 +33,7 @@
     this.fleet.isComplete = true
     const own = entries.find((entry) => entry.name === name) as HostEntry
     const view = new PeerView(own, this.fleet)
-    this.allowances = new Allowances({ availabilityZone: 'one', windowMs: 5_000, startedAt: 0, countHosts: () => entries.length, isSumming: (now) => view.isSumming(now) })
+    this.allowances = new Allowances({ availabilityZone: 'one', windowMs: 5_000, startedAt: 0, countHosts: () => entries.length, isAggregator: (now) => view.isAggregator(now) })
     const socket = {
       send: (bytes: Uint8Array, ip: string) => {
         const message = decodeDatagram(bytes)
@@ -41,7 +41,7 @@
         if (message?.kind === 'use' && to !== undefined) this.sent.push({ to: to.name, report: message.report })
       }
     } as unknown as PeerSocket
-    this.exchange = new UseExchange({ own, view, allowances: this.allowances, socket, getNow: () => this.now, sleep: (ms) => this.sleep(ms) })
+    this.exchange = new UsageExchange({ own, view, allowances: this.allowances, socket, getNow: () => this.now, sleep: (ms) => this.sleep(ms) })
   }
 
   async runOnce (): Promise<void> {
@@ -51,13 +51,13 @@
     await running
   }
 
-  listReceivers (has: (report: UseReport) => boolean): string[] {
+  listReceivers (has: (report: UsageReport) => boolean): string[] {
     return [...new Set(this.sent.filter(({ report }) => has(report)).map(({ to }) => to))].sort()
   }
 }
 
 test('nothing is sent if no organisation has a limit', async () => {
-  const rig = new UseRig('a')
+  const rig = new UsageRig('a')
   await rig.runOnce()
   assert.is(rig.sent.length, 0)
 })
@@ -66,15 +66,15 @@
 // its configuration, found none and checked again a second later. For a second no host reported what it admitted, and a window exceeded
 // its bound.
 test('a host that receives limits after its start reports its usage within a quarter of a second', async () => {
-  const rig = new UseRig('c')
+  const rig = new UsageRig('c')
   const stop = new AbortController()
   const startedAt = rig.now
   rig.sleep = (ms) => {
     rig.now += ms
     if (rig.sent.length > 0) stop.abort()
-    if (!rig.allowances.areNeeded) {
+    if (!rig.allowances.hasLimits) {
       rig.allowances.setOrganisations([SCHOOL])
-      rig.allowances.ask('school', rig.now)
+      rig.allowances.claim('school', rig.now)
     }
     return Promise.resolve()
   }
@@ -83,53 +83,53 @@
 })
 
 test('a host sends its own counts to the two aggregators of its zone, and to no other host', async () => {
-  const rig = new UseRig('c')
+  const rig = new UsageRig('c')
   rig.allowances.setOrganisations([SCHOOL])
-  rig.allowances.ask('school', rig.now)
+  rig.allowances.claim('school', rig.now)
   await rig.runOnce()
   assert.equal(rig.sent.map(({ to }) => to).sort(), ['a', 'b'])
   assert.equal([...(rig.sent[0]?.report.totals.values() ?? [])], [{ asked: 1, letThrough: 0 }])
 })
 
 test('an aggregator sends its zone\'s sum to the aggregators of other zones, and the sum of all zones to the hosts of its zone', async () => {
-  const rig = new UseRig('a')
+  const rig = new UsageRig('a')
   rig.allowances.setOrganisations([SCHOOL])
   for (let request = 0; request < 40; request += 1) {
-    rig.allowances.observeLetThrough(rig.allowances.ask('school', rig.now), rig.now)
+    rig.allowances.observeAdmitted(rig.allowances.claim('school', rig.now), rig.now)
   }
   await rig.runOnce()
   assert.equal(rig.listReceivers(({ zone }) => zone !== undefined), ['x', 'y'])
   assert.equal(rig.listReceivers(({ fleet }) => fleet !== undefined), ['b', 'c', 'd'])
-  assert.is(rig.sent.find(({ report }) => report.zone !== undefined)?.report.zone?.uses.size, 1)
+  assert.is(rig.sent.find(({ report }) => report.zone !== undefined)?.report.zone?.usageByOrganisation.size, 1)
 })
 
 // Guards against forged reports: anybody can send to the port. With a made-up sum, or one of a host's earlier incarnation, the requests
 // of a customer would be refused at all hosts.
 test('a report is applied only if it is of a host\'s current incarnation and came from its address', () => {
-  const rig = new UseRig('c')
+  const rig = new UsageRig('c')
   rig.allowances.setOrganisations([SCHOOL])
-  rig.allowances.ask('school', rig.now)
-  const [hash] = rig.allowances.takeTotals().keys() as unknown as [number]
-  const fleet = { hosts: 7, unseenMs: 0, uses: new Map([[hash, { letThrough: 1_000, leavingPerSecond: 0, askedPerSecond: 200 }]]) }
+  rig.allowances.claim('school', rig.now)
+  const [hash] = rig.allowances.takeChangedTotals().keys() as unknown as [number]
+  const fleet = { hosts: 7, unseenMs: 0, usageByOrganisation: new Map([[hash, { letThrough: 1_000, leavingPerSecond: 0, askedPerSecond: 200 }]]) }
   const { ip } = makeEntry('a', 'one')
   rig.exchange.handleReport(makeReport({ fleet, incarnation: 'i0' }), ip)
   rig.exchange.handleReport(makeReport({ fleet }), '10.9.9.9')
   rig.exchange.handleReport(makeReport({ fleet, host: 'x' }), makeEntry('x', 'two').ip)
   rig.exchange.handleReport(makeReport({ fleet, host: 'unknown' }), ip)
-  assert.ok(rig.allowances.ask('school', rig.now).allowedPart > 0)
+  assert.ok(rig.allowances.claim('school', rig.now).allowedPart > 0)
   rig.exchange.handleReport(makeReport({ fleet }), ip)
-  assert.is(rig.allowances.ask('school', rig.now).allowedPart, 0)
+  assert.is(rig.allowances.claim('school', rig.now).allowedPart, 0)
 })
 
 test('reports decode to what was encoded, and arbitrary bytes decode to a valid report or to nothing', () => {
-  const report = makeReport({ totals: new Map([[7, { asked: 3, letThrough: 2 }]]), zone: { hosts: 4, unseenMs: 20, uses: new Map([[9, { letThrough: 5, leavingPerSecond: 0, askedPerSecond: 1.5 }]]) } })
-  const bytes = encodeUseReport(report)
+  const report = makeReport({ totals: new Map([[7, { asked: 3, letThrough: 2 }]]), zone: { hosts: 4, unseenMs: 20, usageByOrganisation: new Map([[9, { letThrough: 5, leavingPerSecond: 0, askedPerSecond: 1.5 }]]) } })
+  const bytes = encodeUsageReport(report)
   assert.equal(decodeDatagram(bytes), { kind: 'use', report })
   fc.assert(fc.property(fc.nat(bytes.length - 1), fc.nat(255), fc.nat(bytes.length), (place, value, length) => {
     const changed = Uint8Array.from(bytes)
     changed[place] = value
     const message = decodeDatagram(changed.subarray(0, length))
-    const uses = message?.kind === 'use' ? [...(message.report.zone?.uses.values() ?? [])] : []
+    const uses = message?.kind === 'use' ? [...(message.report.zone?.usageByOrganisation.values() ?? [])] : []
     return uses.every(({ askedPerSecond }) => Number.isFinite(askedPerSecond) && askedPerSecond >= 0)
   }), { seed: SEED, numRuns: 2_000 })
 })
@@ -137,23 +137,23 @@
 // Guards against fractions in integer fields. When the next report of a zone is overdue, its hosts count in part. A sum had 5.6 hosts,
 // which can't be encoded as an integer, and the aggregator exited, again after each restart.
 test('a sum that includes an overdue report is encoded in whole numbers', async () => {
-  const rig = new UseRig('a')
+  const rig = new UsageRig('a')
   rig.allowances.setOrganisations([SCHOOL])
-  rig.allowances.ask('school', rig.now)
-  const [hash] = rig.allowances.takeTotals().keys() as unknown as [number]
-  rig.exchange.handleReport(makeReport({ host: 'x', availabilityZone: 'two', zone: { hosts: 3, unseenMs: 0.5, uses: new Map([[hash, { letThrough: 7, leavingPerSecond: 0, askedPerSecond: 200 }]]) } }), makeEntry('x', 'two').ip)
+  rig.allowances.claim('school', rig.now)
+  const [hash] = rig.allowances.takeChangedTotals().keys() as unknown as [number]
+  rig.exchange.handleReport(makeReport({ host: 'x', availabilityZone: 'two', zone: { hosts: 3, unseenMs: 0.5, usageByOrganisation: new Map([[hash, { letThrough: 7, leavingPerSecond: 0, askedPerSecond: 200 }]]) } }), makeEntry('x', 'two').ip)
   rig.now += 1_000
   await rig.runOnce()
-  const word = rig.sent.find(({ report }) => report.fleet !== undefined)?.report.fleet
-  assert.ok(word !== undefined && word.hosts >= 1 && word.hosts < 4)
-  assert.ok((word.uses.get(hash)?.letThrough ?? 0) > 7)
+  const fleetUsage = rig.sent.find(({ report }) => report.fleet !== undefined)?.report.fleet
+  assert.ok(fleetUsage !== undefined && fleetUsage.hosts >= 1 && fleetUsage.hosts < 4)
+  assert.ok((fleetUsage.usageByOrganisation.get(hash)?.letThrough ?? 0) > 7)
 })
 
 test('reports contain no keys', () => {
-  const rig = new UseRig('c')
+  const rig = new UsageRig('c')
   rig.allowances.setOrganisations([SCHOOL])
-  rig.allowances.ask('school', rig.now)
-  const bytes = encodeUseReport(makeReport({ totals: rig.allowances.takeTotals() }))
+  rig.allowances.claim('school', rig.now)
+  const bytes = encodeUsageReport(makeReport({ totals: rig.allowances.takeChangedTotals() }))
   assert.not.match(Buffer.from(bytes).toString('latin1'), /key-of|school/)
 })
 
--- a/packages/almondrelay-gateway/src/process/organisations/fleetUse.ts
+++ b/packages/almondrelay-gateway/src/process/organisations/fleetUsage.ts
@@ -1,4 +1,4 @@
-import type { ZoneUse } from './zoneUse.js'
+import type { ZoneUsage } from './zoneUsage.js'
 
 /** Allowance usage of organisations in all zones from which the sender receives reports. */
-export type FleetUse = ZoneUse
+export type FleetUsage = ZoneUsage
--- a/packages/almondrelay-gateway/src/process/organisations/addZones.ts
+++ b/packages/almondrelay-gateway/src/process/organisations/sumZoneUsage.ts
@@ -1,10 +1,10 @@
 import type { AllowanceUsage } from '../../request/allowanceUsage.js'
-import type { FleetUse } from './fleetUse.js'
-import type { HeardUse } from './heardUse.js'
+import type { FleetUsage } from './fleetUsage.js'
+import type { UsageSnapshot } from './usageSnapshot.js'
 import { SILENCE_MS } from './silenceMs.js'
 
 /** Maximum age of a snapshot, in milliseconds, at which the next one isn't overdue yet. */
-const TRUSTED_MS = 600
+const MAX_CURRENT_AGE_MS = 600
 
 /**
  * Adds up the usage of several zones. Their unseen times are averaged, weighted by the number of hosts.
@@ -16,35 +16,35 @@
  *
  * @param findRate returns the requests per second that an organisation's allowance permits
  */
-export function addZones (zones: readonly HeardUse[], findRate: (organisation: number) => number): FleetUse {
+export function sumZoneUsage (zones: readonly UsageSnapshot[], findRate: (organisation: number) => number): FleetUsage {
   const sums = new Map<number, AllowanceUsage>()
   const askedSince = new Map<number, number>()
   const leftSince = new Map<number, number>()
   let hosts = 0
-  let heardHosts = 0
+  let reportedHosts = 0
   let unseenHostMs = 0
   for (const { use, ageMs } of zones) {
     hosts += use.hosts * computeTrust(ageMs)
-    heardHosts += use.hosts
+    reportedHosts += use.hosts
     unseenHostMs += use.unseenMs * use.hosts
-    for (const [organisation, known] of use.uses) {
-      sums.set(organisation, addUses(sums.get(organisation), known))
+    for (const [organisation, known] of use.usageByOrganisation) {
+      sums.set(organisation, addUsage(sums.get(organisation), known))
       askedSince.set(organisation, (askedSince.get(organisation) ?? 0) + known.askedPerSecond * ageMs / 1_000)
       leftSince.set(organisation, (leftSince.get(organisation) ?? 0) + known.leavingPerSecond * ageMs / 1_000)
     }
   }
-  const uses = new Map([...sums].map(([organisation, sum]) => [organisation, addSince(sum, askedSince.get(organisation) ?? 0, leftSince.get(organisation) ?? 0, findRate(organisation))]))
-  return { hosts, unseenMs: unseenHostMs / Math.max(1, heardHosts), uses }
+  const usageByOrganisation = new Map([...sums].map(([organisation, sum]) => [organisation, addEstimateSince(sum, askedSince.get(organisation) ?? 0, leftSince.get(organisation) ?? 0, findRate(organisation))]))
+  return { hosts, unseenMs: unseenHostMs / Math.max(1, reportedHosts), usageByOrganisation: usageByOrganisation }
 }
 
 /** Returns the share of a zone's hosts that counts as known, which falls from 1 to 0 the longer the zone's next snapshot is overdue. */
-const computeTrust = (ageMs: number): number => Math.min(1, Math.max(0, (SILENCE_MS - ageMs) / (SILENCE_MS - TRUSTED_MS)))
+const computeTrust = (ageMs: number): number => Math.min(1, Math.max(0, (SILENCE_MS - ageMs) / (SILENCE_MS - MAX_CURRENT_AGE_MS)))
 
-const addUses = (first: AllowanceUsage | undefined, second: AllowanceUsage): AllowanceUsage => first === undefined
+const addUsage = (first: AllowanceUsage | undefined, second: AllowanceUsage): AllowanceUsage => first === undefined
   ? second
   : { letThrough: first.letThrough + second.letThrough, leavingPerSecond: first.leavingPerSecond + second.leavingPerSecond, askedPerSecond: first.askedPerSecond + second.askedPerSecond }
 
-const addSince = (sum: AllowanceUsage, askedSince: number, leftSince: number, ratePerSecond: number): AllowanceUsage => {
-  const borne = sum.askedPerSecond > ratePerSecond ? ratePerSecond / sum.askedPerSecond : 1
-  return { ...sum, letThrough: Math.max(0, sum.letThrough + askedSince * borne - leftSince) }
+const addEstimateSince = (sum: AllowanceUsage, askedSince: number, leftSince: number, ratePerSecond: number): AllowanceUsage => {
+  const admittedShare = sum.askedPerSecond > ratePerSecond ? ratePerSecond / sum.askedPerSecond : 1
+  return { ...sum, letThrough: Math.max(0, sum.letThrough + askedSince * admittedShare - leftSince) }
 }
--- a/packages/almondrelay-gateway/src/process/organisations/useReport.ts
+++ b/packages/almondrelay-gateway/src/process/organisations/usageReport.ts
@@ -1,9 +1,9 @@
-import type { FleetUse } from './fleetUse.js'
+import type { FleetUsage } from './fleetUsage.js'
 import type { UsageTotals } from '../../request/usageTotals.js'
-import type { ZoneUse } from './zoneUse.js'
+import type { ZoneUsage } from './zoneUsage.js'
 
 /** A report of organisations' allowance usage from one host to another. */
-export interface UseReport {
+export interface UsageReport {
   host: string
   incarnation: string
   availabilityZone: string
@@ -12,7 +12,7 @@
   /** Counts of the sender alone, by the hash of the organisation's name; only those that changed recently. */
   totals: ReadonlyMap<number, UsageTotals>
   /** Usage in the sender's zone, sent to the aggregators of the other zones. */
-  zone: ZoneUse | undefined
+  zone: ZoneUsage | undefined
   /** Usage in all zones, sent to the hosts of the sender's zone. */
-  fleet: FleetUse | undefined
+  fleet: FleetUsage | undefined
 }
--- a/packages/almondrelay-gateway/src/process/organisations/heardUse.ts
+++ b/packages/almondrelay-gateway/src/process/organisations/usageSnapshot.ts
@@ -1,8 +1,8 @@
-import type { ZoneUse } from './zoneUse.js'
+import type { ZoneUsage } from './zoneUsage.js'
 
 /** The last known usage of a zone, or of all zones together. */
-export interface HeardUse {
-  use: ZoneUse
+export interface UsageSnapshot {
+  use: ZoneUsage
   /** Milliseconds since the report was received. */
   ageMs: number
 }
--- a/packages/almondrelay-gateway/src/process/peers/__tests__/decodeReport.test.ts
+++ b/packages/almondrelay-gateway/src/process/peers/__tests__/decodeLoadReport.test.ts
@@ -7,7 +7,7 @@
 import * as assert from 'uvu/assert'
 import { decodeLoad } from '../__fixtures__/decodeLoad.js'
 import { encodeDatagram } from '../encodeDatagram.js'
-import { encodeReport } from '../encodeReport.js'
+import { encodeLoadReport } from '../encodeLoadReport.js'
 import { splitChanges } from '../splitChanges.js'
 
 const test = suite('decodeLoadReport')
@@ -50,7 +50,7 @@
   assert.equal(parts.map(({ events: each }) => each), [events])
   const plain = decodeLoad(encode({}))
   if (plain === undefined) throw new Error('no report')
-  const bytes = encodeReport({ ...plain, changes: parts[0] })
+  const bytes = encodeLoadReport({ ...plain, changes: parts[0] })
   assert.ok(bytes.byteLength < 8_000)
   assert.equal(decodeLoad(bytes)?.changes?.events, events)
 })
@@ -75,7 +75,7 @@
   }
   const plain = decodeLoad(encode({}))
   if (plain === undefined) throw new Error('no report')
-  assert.equal(decodeLoad(encodeReport({ ...plain, changes }))?.changes, changes)
+  assert.equal(decodeLoad(encodeLoadReport({ ...plain, changes }))?.changes, changes)
 })
 
 // Guards against decreasing revisions, with which a host would treat changes as known that it never received.
--- a/packages/almondrelay-gateway/src/process/peers/__tests__/peerExchange.test.ts
+++ b/packages/almondrelay-gateway/src/process/peers/__tests__/peerExchange.test.ts
@@ -6,7 +6,7 @@
 import type { RelayedChanges } from '../../fleet/relayedChanges.js'
 import type { ForwardState } from '../../forward/forwardState.js'
 import { decodeLoad } from '../__fixtures__/decodeLoad.js'
-import { encodeReport } from '../encodeReport.js'
+import { encodeLoadReport } from '../encodeLoadReport.js'
 import { PeerExchange } from '../peerExchange.js'
 import type { PeerReport } from '../peerReport.js'
 import type { PeerSocket } from '../peerSocket.js'
@@ -41,14 +41,14 @@
       getNow: () => 0,
       isLeaving: () => false,
       getDeclaredRevision: () => 0,
-      hearRevision: () => undefined,
-      acceptRelayed: (changes) => { this.accepted.push(changes) },
-      hearWatcher: (report) => { this.watched.push(report) }
+      receiveRevision: () => undefined,
+      acceptRelayedChanges: (changes) => { this.accepted.push(changes) },
+      receiveWatcherReport: (report) => { this.watched.push(report) }
     })
   }
 
-  hear (report: PeerReport, ip = ADDRESS): void {
-    this.exchange.handleReport(decodeLoad(encodeReport(report)) as PeerReport, ip)
+  receive (report: PeerReport, ip = ADDRESS): void {
+    this.exchange.handleReport(decodeLoad(encodeLoadReport(report)) as PeerReport, ip)
   }
 }
 
@@ -60,12 +60,12 @@
   for (const { entry } of targets) rig.fleet.putTarget(entry, 0)
   const count = (id: string): number => rig.fleet.findTarget(id)?.countOutstanding(0) ?? -1
   const findHash = (id: string): number => rig.fleet.findTarget(id)?.incarnationHash ?? 0
-  rig.hear(makeReport('a', 1, { inFlight: new Map([[findHash('1'), 3], [findHash('2'), 1]]) }))
-  rig.hear(makeReport('b', 1, { inFlight: new Map([[findHash('1'), 2]]) }))
+  rig.receive(makeReport('a', 1, { inFlight: new Map([[findHash('1'), 3], [findHash('2'), 1]]) }))
+  rig.receive(makeReport('b', 1, { inFlight: new Map([[findHash('1'), 2]]) }))
   assert.equal(['1', '2', '3'].map(count), [5, 1, 0])
-  rig.hear(makeReport('a', 2, { inFlight: new Map([[findHash('2'), 4], [findHash('3'), 1]]) }))
+  rig.receive(makeReport('a', 2, { inFlight: new Map([[findHash('2'), 4], [findHash('3'), 1]]) }))
   assert.equal(['1', '2', '3'].map(count), [2, 4, 1])
-  rig.hear(makeReport('a', 1, { inFlight: new Map([[findHash('1'), 9]]) }))
+  rig.receive(makeReport('a', 1, { inFlight: new Map([[findHash('1'), 9]]) }))
   assert.equal(['1', '2', '3'].map(count), [2, 4, 1], 'an older report')
 })
 
@@ -75,7 +75,7 @@
   rig.fleet.putTarget(entry, 0)
   const before = rig.fleet.findTarget('1')?.incarnationHash ?? 0
   rig.fleet.putTarget({ ...entry, incarnation: 2 }, 0)
-  rig.hear(makeReport('a', 1, { inFlight: new Map([[before, 3]]) }))
+  rig.receive(makeReport('a', 1, { inFlight: new Map([[before, 3]]) }))
   assert.is(rig.fleet.findTarget('1')?.countOutstanding(0), 0)
 })
 
@@ -83,14 +83,14 @@
 // accepted only from a watcher of the region, of its current incarnation and from an address of one of the region's hosts.
 test('a watcher\'s report is accepted only from addresses of its region and of its current incarnation', () => {
   const rig = new ExchangeRig()
-  for (const name of ['a', 'b', 'c']) rig.hear(makeReport(name, 1))
+  for (const name of ['a', 'b', 'c']) rig.receive(makeReport(name, 1))
   rig.watched.length = 0
-  rig.hear(makeReport('a', 2), '10.9.9.9')
-  rig.hear(makeReport('a', 3, { incarnation: 'i2' }))
-  rig.hear(makeReport('c', 2))
-  rig.hear(makeReport('stranger', 2))
+  rig.receive(makeReport('a', 2), '10.9.9.9')
+  rig.receive(makeReport('a', 3, { incarnation: 'i2' }))
+  rig.receive(makeReport('c', 2))
+  rig.receive(makeReport('stranger', 2))
   assert.equal(rig.watched, [])
-  rig.hear(makeReport('a', 4))
+  rig.receive(makeReport('a', 4))
   assert.equal(rig.watched.map(({ host }) => host), ['a'])
 })
 
@@ -109,14 +109,14 @@
 
 test('a host accepts changes and forwards them to the hosts that the watcher names', () => {
   const rig = new ExchangeRig()
-  for (const name of ['a', 'b']) rig.hear(makeReport(name, 1))
-  rig.hear(makeReport('a', 2, { changes: { ...CHANGES, forwardTo: ['b', 'c', 'unknown'] } }))
+  for (const name of ['a', 'b']) rig.receive(makeReport(name, 1))
+  rig.receive(makeReport('a', 2, { changes: { ...CHANGES, forwardTo: ['b', 'c', 'unknown'] } }))
   assert.is(rig.accepted.length, 1)
   assert.is(rig.sent.length, 2)
   for (const report of rig.sent) assert.equal(report.changes, CHANGES)
-  rig.hear(makeReport('a', 1, { changes: CHANGES }))
+  rig.receive(makeReport('a', 1, { changes: CHANGES }))
   assert.is(rig.accepted.length, 2, 'changes that arrived after a newer report')
-  rig.hear(makeReport('c', 2, { changes: { ...CHANGES, forwardTo: ['b'] } }))
+  rig.receive(makeReport('c', 2, { changes: { ...CHANGES, forwardTo: ['b'] } }))
   assert.is(rig.accepted.length, 2, 'from a host that does not watch')
   assert.is(rig.sent.length, 2)
 })
--- a/packages/almondrelay-gateway/src/process/peers/__tests__/peerView.test.ts
+++ b/packages/almondrelay-gateway/src/process/peers/__tests__/peerView.test.ts
@@ -3,7 +3,7 @@
 import { FleetState } from '../../fleet/fleetState.js'
 import type { HostEntry } from '../../fleet/hostEntry.js'
 import { decodeLoad } from '../__fixtures__/decodeLoad.js'
-import { encodeReport } from '../encodeReport.js'
+import { encodeLoadReport } from '../encodeLoadReport.js'
 import type { PeerReport } from '../peerReport.js'
 import { PeerView } from '../peerView.js'
 
@@ -22,11 +22,11 @@
 // Guards against unbounded memory: anybody can send reports, each under a new name.
 test('reports under names without an entry add no host, and their number in memory is bounded', () => {
   const view = build()
-  view.hear(makeReport('a', 1), 0)
-  for (let index = 0; index < 12_000; index += 1) view.hear(makeReport(`stranger-${index}`, 1), 0)
-  view.hear(makeReport('b', 1), 0)
+  view.receiveReport(makeReport('a', 1), 0)
+  for (let index = 0; index < 12_000; index += 1) view.receiveReport(makeReport(`stranger-${index}`, 1), 0)
+  view.receiveReport(makeReport('b', 1), 0)
   assert.equal(listNames(view, 10), ['own', 'a', 'b'])
-  assert.ok(view.countHeard() <= 10_000, `${view.countHeard()} senders are kept`)
+  assert.ok(view.countKnownSenders() <= 10_000, `${view.countKnownSenders()} senders are kept`)
 })
 
 // Guards against missed changes when both watchers of a region exit or are cut off from the store. The other hosts must notice this,
@@ -36,22 +36,22 @@
   const names = ['a', 'b', 'c', 'd', 'e', 'f', 'g', 'own']
   for (const name of names) fleet.putHost(makeEntry(name))
   const view = new PeerView(makeEntry('own'), fleet)
-  const hear = (name: string, sequence: number, storeAgeMs: number, now: number) => view.hear({ ...makeReport(name, sequence), storeAgeMs }, now)
+  const receive = (name: string, sequence: number, storeAgeMs: number, now: number) => view.receiveReport({ ...makeReport(name, sequence), storeAgeMs }, now)
   const isReliable = (now: number) => view.hasReliableWatchers(2_500, now)
   assert.not(isReliable(0), 'no reports yet')
-  for (const name of names) hear(name, 1, 1_000, 0)
+  for (const name of names) receive(name, 1, 1_000, 0)
   assert.ok(isReliable(400))
   // Half a second of the bound is left for asking the store: a check every 0.2 s and a call over two trips of 55 ms each.
   assert.not(isReliable(1_000), 'no report from either for too long')
-  hear('c', 2, 0, 1_100)
+  receive('c', 2, 0, 1_100)
   assert.not(isReliable(1_100), 'a host that does not watch')
-  hear('b', 2, 0, 1_100)
+  receive('b', 2, 0, 1_100)
   assert.ok(isReliable(1_100))
-  hear('a', 2, 4_000, 1_300)
-  hear('b', 3, 4_000, 1_300)
+  receive('a', 2, 4_000, 1_300)
+  receive('b', 3, 4_000, 1_300)
   assert.not(isReliable(1_300), 'both cut off from the store')
   fleet.removeHost('g')
-  hear('b', 4, 0, 1_400)
+  receive('b', 4, 0, 1_400)
   assert.not(isReliable(1_400), 'few hosts: each watches')
 })
 
@@ -59,11 +59,11 @@
 // and their entries are removed after four, but they keep their callers. If they counted as exited, the others would use the whole
 // limit, and they their share in addition.
 test('a host whose entry is removed without an announcement still counts; one that announced its leave or came back does not count twice', () => {
-  const fleet = new FleetState({ targetRemoved: () => undefined, targetRestarted: () => undefined, hostRemoved: (entry) => { view.observeGone(entry, 1_000) } })
+  const fleet = new FleetState({ targetRemoved: () => undefined, targetRestarted: () => undefined, hostRemoved: (entry) => { view.observeEntryRemoved(entry, 1_000) } })
   const view = new PeerView(makeEntry('own'), fleet)
   for (const name of ['own', 'cut', 'leaving']) fleet.putHost(makeEntry(name))
   assert.is(view.countPossibleHosts(0), 3)
-  view.hear(makeReport('leaving', 1, true), 500)
+  view.receiveReport(makeReport('leaving', 1, true), 500)
   fleet.removeHost('leaving')
   fleet.removeHost('cut')
   assert.is(view.countPossibleHosts(1_000), 2)
@@ -78,24 +78,24 @@
   const fleet = new FleetState({ targetRemoved: () => undefined, targetRestarted: () => undefined, hostRemoved: () => undefined })
   const view = new PeerView(makeEntry('c'), fleet)
   for (const name of ['d', 'c', 'b', 'a']) fleet.putHost(makeEntry(name))
-  view.hear(makeReport('a', 1, true), 0)
+  view.receiveReport(makeReport('a', 1, true), 0)
   const zone = makeEntry('a').availabilityZone
-  assert.equal(view.listSumming(zone, 0).map(({ name }) => name), ['b', 'c'])
-  assert.ok(view.isSumming(0))
+  assert.equal(view.listAggregators(zone, 0).map(({ name }) => name), ['b', 'c'])
+  assert.ok(view.isAggregator(0))
 })
 
 // Guards against relaying every change twice, once by each of the two watchers.
 test('the first watcher relays changes; the second does so if the first sends no reports or is cut off from the store', () => {
   const view = build()
-  for (const name of ['a', 'b']) view.hear(makeReport(name, 1), 0)
+  for (const name of ['a', 'b']) view.receiveReport(makeReport(name, 1), 0)
   assert.not(view.isRelay(1_000), 'the first watcher has reported recently')
   assert.ok(view.isRelay(2_600), 'the first watcher has stopped reporting')
-  view.hear({ ...makeReport('a', 2), storeAgeMs: 4_000 }, 2_700)
+  view.receiveReport({ ...makeReport('a', 2), storeAgeMs: 4_000 }, 2_700)
   assert.ok(view.isRelay(2_700), 'the first watcher does not reach the store')
-  view.hear(makeReport('a', 3), 2_800)
+  view.receiveReport(makeReport('a', 3), 2_800)
   assert.not(view.isRelay(2_800))
-  view.hear(makeReport('a', 4, true), 2_900)
-  view.hear(makeReport('b', 2, true), 2_900)
+  view.receiveReport(makeReport('a', 4, true), 2_900)
+  view.receiveReport(makeReport('b', 2, true), 2_900)
   assert.ok(view.isRelay(2_900), 'this host is the first')
 })
 
@@ -103,53 +103,53 @@
 // is unavailable.
 test('a host that has stopped reporting is not listed while other hosts report', () => {
   const view = build()
-  view.hear(makeReport('a', 1), 0)
-  view.hear(makeReport('b', 1), 0)
+  view.receiveReport(makeReport('a', 1), 0)
+  view.receiveReport(makeReport('b', 1), 0)
   assert.equal(listNames(view, 100), ['own', 'a', 'b'])
-  view.hear(makeReport('a', 2), 4_000)
+  view.receiveReport(makeReport('a', 2), 4_000)
   assert.equal(listNames(view, 4_000), ['own', 'a'])
 })
 
 test('a host that receives no reports lists hosts by their entries, as it is probably cut off itself', () => {
   const view = build()
-  view.hear(makeReport('a', 1), 0)
+  view.receiveReport(makeReport('a', 1), 0)
   assert.equal(listNames(view, 60_000), ['own', 'a', 'b'])
 })
 
 test('a host that announces that it leaves is no longer listed', () => {
   const view = build()
-  view.hear(makeReport('a', 1), 0)
-  view.hear(makeReport('b', 1, true), 0)
+  view.receiveReport(makeReport('a', 1), 0)
+  view.receiveReport(makeReport('b', 1, true), 0)
   assert.equal(listNames(view, 10), ['own', 'a'])
 })
 
 test('an older report never replaces a newer one', () => {
   const view = build()
-  assert.ok(view.hear(makeReport('a', 2), 0))
-  assert.not(view.hear(makeReport('a', 1, true), 5))
+  assert.ok(view.receiveReport(makeReport('a', 2), 0))
+  assert.not(view.receiveReport(makeReport('a', 1, true), 5))
   assert.ok(listNames(view, 10).includes('a'))
 })
 
 test('the demand of another region is taken from its regional report', () => {
   const view = build()
   const far = { ...makeReport('far', 1), region: 'wlg', isRegional: true, demands: [{ service: 's', perSecond: 40, warmMs: 100, coldMs: 300, parts: new Map() }] }
-  assert.ok(view.hear(far, 0))
-  view.hear({ ...makeReport('a', 1), demands: [{ service: 's', perSecond: 3, warmMs: 90, coldMs: 300, parts: new Map([['akl', 1]]) }] }, 0)
+  assert.ok(view.receiveReport(far, 0))
+  view.receiveReport({ ...makeReport('a', 1), demands: [{ service: 's', perSecond: 3, warmMs: 90, coldMs: 300, parts: new Map([['akl', 1]]) }] }, 0)
   assert.equal(view.listDemands(10).map(({ region, demand }) => [region, demand.perSecond]), [['akl', 3], ['wlg', 40]])
   assert.equal(view.listDemands(10_000), [])
 })
 
 test('a region has two representatives; a host that receives no reports acts as one', () => {
   const view = build()
-  assert.ok(view.isSpeaker(0))
-  view.hear(makeReport('a', 1), 0)
-  view.hear(makeReport('b', 1), 0)
-  assert.not(view.isSpeaker(0), 'a and b come first by name')
+  assert.ok(view.isRepresentative(0))
+  view.receiveReport(makeReport('a', 1), 0)
+  view.receiveReport(makeReport('b', 1), 0)
+  assert.not(view.isRepresentative(0), 'a and b come first by name')
 })
 
 test('a report decodes to what was encoded, and invalid bytes are rejected', () => {
   const report = { ...makeReport('a', 3), demands: [{ service: 's', perSecond: 2, warmMs: 64, coldMs: 300, parts: new Map([['akl', 0.5]]) }] }
-  assert.equal(decodeLoad(encodeReport(report)), report)
+  assert.equal(decodeLoad(encodeLoadReport(report)), report)
   assert.is(decodeLoad(Buffer.from('nonsense')), undefined)
 })
 
--- a/packages/almondrelay-gateway/src/process/peers/computeMeanTimes.ts
+++ b/packages/almondrelay-gateway/src/process/peers/computeMeanTimes.ts
@@ -4,9 +4,9 @@
 /** Computes the mean of the work times measured by several hosts, weighted by their request rates, or unweighted without requests. */
 export function computeMeanTimes (demands: readonly ServiceDemand[]): WorkTimes {
   const requests = demands.reduce((sum, { perSecond }) => sum + perSecond, 0)
-  const weigh = ({ perSecond }: ServiceDemand): number => requests > 0 ? perSecond / requests : 1 / demands.length
+  const computeWeight = ({ perSecond }: ServiceDemand): number => requests > 0 ? perSecond / requests : 1 / demands.length
   return {
-    warmMs: demands.reduce((sum, demand) => sum + demand.warmMs * weigh(demand), 0),
-    coldMs: demands.reduce((sum, demand) => sum + demand.coldMs * weigh(demand), 0)
+    warmMs: demands.reduce((sum, demand) => sum + demand.warmMs * computeWeight(demand), 0),
+    coldMs: demands.reduce((sum, demand) => sum + demand.coldMs * computeWeight(demand), 0)
   }
 }
--- a/packages/almondrelay-gateway/src/process/peers/decodeDatagram.ts
+++ b/packages/almondrelay-gateway/src/process/peers/decodeDatagram.ts
@@ -1,9 +1,9 @@
 import { fromBinary } from '@bufbuild/protobuf'
 import { PeerDatagramSchema, type PeerDatagram } from 'almondrelay-protocol'
 import { match } from 'ts-pattern'
-import { decodeUseReport } from '../organisations/decodeUseReport.js'
+import { decodeUsageReport } from '../organisations/decodeUsageReport.js'
 import { decodeSuspectReport } from '../quarantine/decodeSuspectReport.js'
-import { decodeReport } from './decodeReport.js'
+import { decodeLoadReport } from './decodeLoadReport.js'
 import type { PeerMessage } from './peerMessage.js'
 
 /** Decodes a datagram from another host. Returns undefined if it isn't a valid message, as anybody can send to the port. */
@@ -17,11 +17,11 @@
 
 const decodeContent = (content: PeerDatagram['content']): PeerMessage | undefined => match(content)
   .with({ case: 'load' }, ({ value }) => {
-    const report = decodeReport(value)
+    const report = decodeLoadReport(value)
     return report === undefined ? undefined : { kind: 'load' as const, report }
   })
   .with({ case: 'use' }, ({ value }) => {
-    const report = decodeUseReport(value)
+    const report = decodeUsageReport(value)
     return report === undefined ? undefined : { kind: 'use' as const, report }
   })
   .with({ case: 'suspects' }, ({ value }) => {
--- a/packages/almondrelay-gateway/src/process/peers/decodeReport.ts
+++ b/packages/almondrelay-gateway/src/process/peers/decodeLoadReport.ts
@@ -5,11 +5,11 @@
 import type { PeerReport } from './peerReport.js'
 
 /** Maximum length of a host's or region's name. Reports with longer names are rejected, as they can't come from a host. */
-const LONGEST_NAME = 200
+const MAX_NAME_LENGTH = 200
 
 /** Decodes a host's load report. Returns undefined if it isn't valid, as anybody can send to the port. */
-export function decodeReport (message: LoadReport): PeerReport | undefined {
-  if (!isNamed(message) || !hasRevisions(message) || !message.demands.every(isMeasured)) return undefined
+export function decodeLoadReport (message: LoadReport): PeerReport | undefined {
+  if (!hasValidNames(message) || !hasValidRevisions(message) || !message.demands.every(hasValidNumbers)) return undefined
   return {
     host: message.host,
     incarnation: message.incarnation,
@@ -34,9 +34,9 @@
   }
 }
 
-const isNamed = ({ host, region }: LoadReport): boolean => [host, region].every((name) => name.length > 0 && name.length <= LONGEST_NAME)
+const hasValidNames = ({ host, region }: LoadReport): boolean => [host, region].every((name) => name.length > 0 && name.length <= MAX_NAME_LENGTH)
 
-const hasRevisions = ({ storeRevision, notableRevision, declaredRevision, changes }: LoadReport): boolean =>
+const hasValidRevisions = ({ storeRevision, notableRevision, declaredRevision, changes }: LoadReport): boolean =>
   [storeRevision, notableRevision, declaredRevision].every(isRevision) && (changes === undefined || isOrdered(changes))
 
 const isRevision = (value: number): boolean => Number.isSafeInteger(value) && value >= 0
@@ -55,5 +55,5 @@
   : { kind: 'written', item: { key, revision, createdRevision, value: decodeValue(value, deflated) } }
 
 /** Returns whether all numbers are finite and not negative. A number that isn't finite would make every sum that includes it useless. */
-const isMeasured = ({ perSecond, warmMs, coldMs, parts }: LoadReport['demands'][number]): boolean =>
+const hasValidNumbers = ({ perSecond, warmMs, coldMs, parts }: LoadReport['demands'][number]): boolean =>
   [perSecond, warmMs, coldMs, ...parts.map(({ part }) => part)].every((value) => Number.isFinite(value) && value >= 0)
--- a/packages/almondrelay-gateway/src/process/peers/encodeReport.ts
+++ b/packages/almondrelay-gateway/src/process/peers/encodeLoadReport.ts
@@ -6,7 +6,7 @@
 import { encodeValue } from './encodeValue.js'
 import type { PeerReport } from './peerReport.js'
 
-export function encodeReport (report: PeerReport): Uint8Array {
+export function encodeLoadReport (report: PeerReport): Uint8Array {
   return encodeDatagram({
     case: 'load',
     value: create(LoadReportSchema, {
--- a/packages/almondrelay-gateway/src/process/peers/liveHosts.ts
+++ b/packages/almondrelay-gateway/src/process/peers/liveHosts.ts
@@ -5,19 +5,19 @@
 import type { PeerState } from './peerState.js'
 
 /** Milliseconds without a report after which a peer no longer counts as live, even if its entry is still in the store. */
-const SILENCE_MS = 3_000
+const REPORT_TIMEOUT_MS = 3_000
 /** Milliseconds for which a new entry alone makes a host count as live, because the host may not have sent a report yet. */
 const ENTRY_TRUST_MS = 3_000
 /**
  * Number of representatives of a region: they send its reports to the other regions and, as its watchers, watch the store with short
  * waits.
  */
-const SPEAKERS = 2
+const REPRESENTATIVES_PER_REGION = 2
 /** Number of hosts of an availability zone that aggregate its hosts' reports: two, so that there is no gap when one exits or hangs. */
-const SUMMING_HOSTS = 2
+const AGGREGATORS_PER_ZONE = 2
 
 /** Milliseconds for which the lists of live hosts are reused if no report changes them, as each request and look-up needs them. */
-const LIST_LIFE_MS = 250
+const MAX_LIST_AGE_MS = 250
 
 /** Determines which hosts are live, and which of them are representatives of this region or aggregators of their zones. */
 export class LiveHosts {
@@ -35,58 +35,58 @@
    * @param known state from the sender's previous report; undefined before its first one
    */
   observeReport (known: PeerState | undefined, report: PeerReport, now: number): void {
-    if (known === undefined || now - known.heardAt > SILENCE_MS || known.report.isLeaving !== report.isLeaving) this.changes += 1
+    if (known === undefined || now - known.receivedAt > REPORT_TIMEOUT_MS || known.report.isLeaving !== report.isLeaving) this.changes += 1
   }
 
   /** Returns the lists for the present time, recomputed if they are outdated. */
-  find (now: number): LiveLists {
+  findLists (now: number): LiveLists {
     const { lists, changes, fleet: { hostsRevision } } = this
-    if (lists !== undefined && lists.changes === changes && lists.hostsRevision === hostsRevision && now - lists.madeAt < LIST_LIFE_MS) return lists
+    if (lists !== undefined && lists.changes === changes && lists.hostsRevision === hostsRevision && now - lists.createdAt < MAX_LIST_AGE_MS) return lists
     const made = this.makeLists(now)
     this.lists = made
     return made
   }
 
   /** Returns the entries of the hosts of this region, including this host. */
-  listNear (): HostEntry[] {
+  listRegionHosts (): HostEntry[] {
     return this.fleet.listHosts().filter((entry) => entry.region === this.own.region)
   }
 
   /** Returns whether any other host of this region has reported recently. */
-  hasHeardNear (now: number): boolean {
-    return this.listNear().some((entry) => entry.name !== this.own.name && this.hasHeard(entry, now))
+  hasRecentReportInRegion (now: number): boolean {
+    return this.listRegionHosts().some((entry) => entry.name !== this.own.name && this.hasRecentReport(entry, now))
   }
 
   /** Returns whether a host has reported within REPORT_TIMEOUT_MS. */
-  hasHeard (entry: HostEntry, now: number): boolean {
+  hasRecentReport (entry: HostEntry, now: number): boolean {
     const peer = this.peers.get(entry.name)
-    return peer !== undefined && now - peer.heardAt <= SILENCE_MS
+    return peer !== undefined && now - peer.receivedAt <= REPORT_TIMEOUT_MS
   }
 
   private makeLists (now: number): LiveLists {
     const hosts = this.fleet.listHosts()
     for (const entry of hosts) this.observeEntry(entry, now)
-    const isAlone = !this.hasHeardNear(now)
-    const live = hosts.filter((entry) => entry.name === this.own.name || this.isLive(entry, now, isAlone))
-    const near = live.filter((entry) => entry.region === this.own.region)
+    const isIsolated = !this.hasRecentReportInRegion(now)
+    const live = hosts.filter((entry) => entry.name === this.own.name || this.isLive(entry, now, isIsolated))
+    const regionHosts = live.filter((entry) => entry.region === this.own.region)
     return {
-      madeAt: now,
+      createdAt: now,
       changes: this.changes,
       hostsRevision: this.fleet.hostsRevision,
       live,
-      nearAddresses: new Set(near.map(({ ip }) => ip)),
-      speakers: near.map((entry) => entry.name).sort().slice(0, SPEAKERS),
-      summing: listFirst(live, SUMMING_HOSTS),
+      regionAddresses: new Set(regionHosts.map(({ ip }) => ip)),
+      representatives: regionHosts.map((entry) => entry.name).sort().slice(0, REPRESENTATIVES_PER_REGION),
+      aggregators: listFirstByZone(live, AGGREGATORS_PER_ZONE),
       senders: new Map()
     }
   }
 
   // A host that receives no reports is more likely cut off itself than the last live host; it then relies on the entries in the store.
-  private isLive (entry: HostEntry, now: number, isAlone: boolean): boolean {
+  private isLive (entry: HostEntry, now: number, isIsolated: boolean): boolean {
     const peer = this.peers.get(entry.name)
     if (peer?.report.isLeaving === true && peer.incarnation === entry.incarnation) return false
-    if (isAlone || entry.region !== this.own.region) return true
-    return this.hasHeard(entry, now) || now - (this.firstSeenAt.get(entry.name)?.at ?? now) <= ENTRY_TRUST_MS
+    if (isIsolated || entry.region !== this.own.region) return true
+    return this.hasRecentReport(entry, now) || now - (this.firstSeenAt.get(entry.name)?.at ?? now) <= ENTRY_TRUST_MS
   }
 
   private observeEntry (entry: HostEntry, now: number): void {
@@ -95,11 +95,11 @@
 }
 
 /** Returns the first hosts of each availability zone by name. */
-const listFirst = (hosts: readonly HostEntry[], most: number): Map<string, HostEntry[]> => {
+const listFirstByZone = (hosts: readonly HostEntry[], maxPerZone: number): Map<string, HostEntry[]> => {
   const byZone = new Map<string, HostEntry[]>()
   for (const entry of [...hosts].sort((one, other) => one.name < other.name ? -1 : 1)) {
     const first = byZone.get(entry.availabilityZone) ?? []
-    if (first.length < most) byZone.set(entry.availabilityZone, [...first, entry])
+    if (first.length < maxPerZone) byZone.set(entry.availabilityZone, [...first, entry])
   }
   return byZone
 }
--- a/packages/almondrelay-gateway/src/process/peers/liveLists.ts
+++ b/packages/almondrelay-gateway/src/process/peers/liveLists.ts
@@ -3,17 +3,17 @@
 /** Lists computed from the hosts that were live at one time. */
 export interface LiveLists {
   /** Time at which the lists were computed, in monotonic milliseconds. */
-  madeAt: number
+  createdAt: number
   /** Number of reports that had changed which hosts are live. */
   changes: number
   hostsRevision: number
   live: HostEntry[]
   /** Addresses of the hosts of this region. */
-  nearAddresses: ReadonlySet<string>
+  regionAddresses: ReadonlySet<string>
   /** Names of this region's representatives, which report for it to the other regions and are its watchers of the store. */
-  speakers: readonly string[]
+  representatives: readonly string[]
   /** Hosts that aggregate the reports of their availability zone, by zone. */
-  summing: ReadonlyMap<string, readonly HostEntry[]>
+  aggregators: ReadonlyMap<string, readonly HostEntry[]>
   /** Names of the hosts that send requests to the targets of a region, by region; filled when a region is first asked for. */
   senders: Map<string, readonly string[]>
 }
--- a/packages/almondrelay-gateway/src/process/peers/peerExchange.ts
+++ b/packages/almondrelay-gateway/src/process/peers/peerExchange.ts
@@ -5,7 +5,7 @@
 import type { RelayedChanges } from '../fleet/relayedChanges.js'
 import { computeMeanTimes } from './computeMeanTimes.js'
 import { DATAGRAM_OVERHEAD } from './datagramOverhead.js'
-import { encodeReport } from './encodeReport.js'
+import { encodeLoadReport } from './encodeLoadReport.js'
 import type { PeerReport } from './peerReport.js'
 import type { PeerSocket } from './peerSocket.js'
 import type { PeerView } from './peerView.js'
@@ -13,22 +13,22 @@
 import { splitChanges } from './splitChanges.js'
 
 /** Milliseconds between reports to the hosts of the same region. */
-const NEAR_INTERVAL_MS = 100
+const OWN_REGION_INTERVAL_MS = 100
 /** Milliseconds between reports that also carry demands, to the same hosts. */
 const DEMAND_INTERVAL_MS = 1_000
 /** The same interval in large regions, where demands cause most of the work of reading reports. */
-const MANY_DEMAND_INTERVAL_MS = 2_000
+const LARGE_REGION_DEMAND_INTERVAL_MS = 2_000
 /** Milliseconds between the reports that a region's representatives send to all hosts of the other regions. */
-const FAR_INTERVAL_MS = 2_000
+const OTHER_REGIONS_INTERVAL_MS = 2_000
 /** Maximum bytes per second that a host sends in reports, out of 12 KB per second for all its control traffic. */
-const BYTES_PER_SECOND = 9_000
+const MAX_BYTES_PER_SECOND = 9_000
 /** Maximum age that is reported, in milliseconds; larger ages make no difference to receivers. */
-const LONGEST_AGE_MS = 3_600_000
+const MAX_AGE_MS = 3_600_000
 /**
  * Maximum bytes of changes in one datagram. Longer datagrams are fragmented on the way, and the loss of one fragment loses the whole
  * datagram. Receivers then ask the store for the changes, as they do for a change that is too large for any datagram.
  */
-const MOST_CHANGE_BYTES = 8_000
+const MAX_CHANGE_BYTES = 8_000
 /**
  * Hosts in a group. A watcher sends changes only to the first host of each group, which forwards them, because the watcher's link is
  * small.
@@ -46,11 +46,11 @@
   /** Revision of the operators' resources in force here. */
   getDeclaredRevision: () => number
   /** Called with the revision of the store that a peer knows, and with the revision of the last change that affects its decisions. */
-  hearRevision: (revision: number, notableRevision: number, now: number) => void
+  receiveRevision: (revision: number, notableRevision: number, now: number) => void
   /** Called with changes that a watcher of this region relays. */
-  acceptRelayed: (changes: RelayedChanges) => void
+  acceptRelayedChanges: (changes: RelayedChanges) => void
   /** Called with a report of a watcher of this region that contains no changes. */
-  hearWatcher: (report: PeerReport, now: number) => void
+  receiveWatcherReport: (report: PeerReport, now: number) => void
 }
 
 type ReportContent = Pick<PeerReport, 'isRegional' | 'demands' | 'declaredRevision' | 'changes'>
@@ -59,7 +59,7 @@
 export class PeerExchange {
   private sequence = 0
   private demandsSentAt = -Infinity
-  private farSentAt = -Infinity
+  private regionalReportSentAt = -Infinity
 
   constructor (private readonly parts: ExchangeParts) {}
 
@@ -67,7 +67,7 @@
   async run (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const bytes = this.sendRound()
-      const pauseMs = Math.max(NEAR_INTERVAL_MS, bytes / BYTES_PER_SECOND * 1_000)
+      const pauseMs = Math.max(OWN_REGION_INTERVAL_MS, bytes / MAX_BYTES_PER_SECOND * 1_000)
       await sleepFor(pauseMs, signal)
     }
   }
@@ -78,40 +78,40 @@
    * @param ip address from which the report was sent
    */
   handleReport (report: PeerReport, ip: string): void {
-    const { own, fleet, view, getNow, hearRevision } = this.parts
+    const { own, fleet, view, getNow, receiveRevision: receiveRevision } = this.parts
     if (report.host === own.name) return
     const now = getNow()
-    const isWatcher = report.region === own.region && view.isWatcher(report, ip, now)
+    const isWatcher = report.region === own.region && view.isReportFromWatcher(report, ip, now)
     // Changes are accepted even in a report that arrives after a newer one, because their revisions define their order.
     if (isWatcher && report.changes !== undefined) {
-      this.parts.acceptRelayed(report.changes)
-      this.passOn(report, report.changes)
+      this.parts.acceptRelayedChanges(report.changes)
+      this.forwardChanges(report, report.changes)
     }
-    const countsBefore = view.findCounts(report.host)
-    if (!view.hear(report, now)) return
-    hearRevision(report.storeRevision, report.notableRevision, now)
+    const previousCounts = view.findInFlightCounts(report.host)
+    if (!view.receiveReport(report, now)) return
+    receiveRevision(report.storeRevision, report.notableRevision, now)
     fleet.hearConfirmation(report.notableRevision, now - report.storeAgeMs)
     if (report.region !== own.region) return
-    this.hearCounts(report, countsBefore, now)
-    if (isWatcher && report.changes === undefined) this.parts.hearWatcher(report, now)
+    this.updateInFlightCounts(report, previousCounts, now)
+    if (isWatcher && report.changes === undefined) this.parts.receiveWatcherReport(report, now)
   }
 
   /** Sends changes of the store to the other hosts of the region. */
   relay (changes: RelayedChanges): void {
-    const groups = splitGroups(this.listOthers(({ region }) => region === this.parts.own.region), GROUP_SIZE)
+    const groups = splitGroups(this.listPeers(({ region }) => region === this.parts.own.region), GROUP_SIZE)
     // Built only once: building it for each of dozens of datagrams would iterate over all targets each time.
     const report = this.buildReport({ isRegional: false, demands: [], declaredRevision: this.parts.getDeclaredRevision(), changes: undefined })
-    for (const part of splitChanges(changes, MOST_CHANGE_BYTES)) {
-      for (const [head, ...others] of groups) {
+    for (const chunk of splitChanges(changes, MAX_CHANGE_BYTES)) {
+      for (const [first, ...others] of groups) {
         const forwardTo = others.map(({ name }) => name)
-        if (head !== undefined) this.send([head], { ...report, changes: { ...part, forwardTo } })
+        if (first !== undefined) this.send([first], { ...report, changes: { ...chunk, forwardTo } })
       }
     }
   }
 
-  private passOn (report: PeerReport, { forwardTo, ...changes }: RelayedChanges): void {
+  private forwardChanges (report: PeerReport, { forwardTo, ...changes }: RelayedChanges): void {
     if (forwardTo.length === 0) return
-    const bytes = encodeReport({ ...report, changes: { ...changes, forwardTo: [] } })
+    const bytes = encodeLoadReport({ ...report, changes: { ...changes, forwardTo: [] } })
     for (const name of forwardTo.slice(0, GROUP_SIZE)) {
       const entry = this.parts.fleet.findHost(name)
       if (entry !== undefined) this.parts.socket.send(bytes, entry.ip, entry.peerPort)
@@ -119,9 +119,9 @@
   }
 
   /** Updates the peer's counts at targets. Only targets in this report or the previous one are visited, not all targets. */
-  private hearCounts ({ host, inFlight }: PeerReport, before: ReadonlyMap<number, number>, now: number): void {
+  private updateInFlightCounts ({ host, inFlight }: PeerReport, previous: ReadonlyMap<number, number>, now: number): void {
     const { fleet } = this.parts
-    for (const hash of before.keys()) {
+    for (const hash of previous.keys()) {
       if (!inFlight.has(hash)) fleet.findIncarnation(hash)?.receivePeerCount(host, 0, now)
     }
     for (const [hash, count] of inFlight) fleet.findIncarnation(hash)?.receivePeerCount(host, count, now)
@@ -136,12 +136,12 @@
     const { own, view, getNow, getDeclaredRevision } = this.parts
     const now = getNow()
     const declaredRevision = getDeclaredRevision()
-    const withDemands = now - this.demandsSentAt >= (view.hasManyNear() ? MANY_DEMAND_INTERVAL_MS : DEMAND_INTERVAL_MS)
+    const withDemands = now - this.demandsSentAt >= (view.isLargeRegion() ? LARGE_REGION_DEMAND_INTERVAL_MS : DEMAND_INTERVAL_MS)
     if (withDemands) this.demandsSentAt = now
     const bytes = this.sendTo((entry) => entry.region === own.region, { isRegional: false, demands: withDemands ? this.listOwnDemands(now) : [], declaredRevision, changes: undefined })
-    if (now - this.farSentAt < FAR_INTERVAL_MS || !view.isSpeaker(now)) return bytes
-    this.farSentAt = now
-    return bytes + this.sendTo((entry) => entry.region !== own.region, { isRegional: true, demands: this.sumDemands(now), declaredRevision: Math.min(declaredRevision, view.findLowestDeclared(now)), changes: undefined })
+    if (now - this.regionalReportSentAt < OTHER_REGIONS_INTERVAL_MS || !view.isRepresentative(now)) return bytes
+    this.regionalReportSentAt = now
+    return bytes + this.sendTo((entry) => entry.region !== own.region, { isRegional: true, demands: this.sumDemands(now), declaredRevision: Math.min(declaredRevision, view.findLowestDeclaredRevision(now)), changes: undefined })
   }
 
   private listOwnDemands (now: number): ServiceDemand[] {
@@ -151,18 +151,18 @@
   /** Returns the demands of all hosts of this region together. */
   private sumDemands (now: number): ServiceDemand[] {
     const { own, view } = this.parts
-    const near = view.listDemands(now).filter(({ region }) => region === own.region).map(({ demand }) => demand)
+    const regionDemands = view.listDemands(now).filter(({ region }) => region === own.region).map(({ demand }) => demand)
     const sums = new Map<string, ServiceDemand>()
-    for (const demand of [...this.listOwnDemands(now), ...near]) sums.set(demand.service, addDemands(sums.get(demand.service), demand))
+    for (const demand of [...this.listOwnDemands(now), ...regionDemands]) sums.set(demand.service, addDemands(sums.get(demand.service), demand))
     return [...sums.values()]
   }
 
   private sendTo (isReceiver: (entry: HostEntry) => boolean, content: ReportContent): number {
-    const receivers = this.listOthers(isReceiver)
+    const receivers = this.listPeers(isReceiver)
     return receivers.length === 0 ? 0 : this.send(receivers, this.buildReport(content))
   }
 
-  private listOthers (isReceiver: (entry: HostEntry) => boolean): HostEntry[] {
+  private listPeers (isReceiver: (entry: HostEntry) => boolean): HostEntry[] {
     const { own, fleet } = this.parts
     return fleet.listHosts().filter((entry) => entry.name !== own.name && isReceiver(entry))
   }
@@ -170,7 +170,7 @@
   /** Sends a report to the given hosts and returns the bytes sent, headers included. */
   private send (receivers: readonly HostEntry[], report: Omit<PeerReport, 'sequence'>): number {
     this.sequence += 1
-    const bytes = encodeReport({ ...report, sequence: this.sequence })
+    const bytes = encodeLoadReport({ ...report, sequence: this.sequence })
     for (const entry of receivers) this.parts.socket.send(bytes, entry.ip, entry.peerPort)
     return receivers.length * (bytes.byteLength + DATAGRAM_OVERHEAD)
   }
@@ -186,7 +186,7 @@
       configurationVersion: fleet.configuration?.version ?? 0,
       storeRevision: fleet.storeRevision,
       notableRevision: fleet.notableRevision,
-      storeAgeMs: Math.round(Math.min(LONGEST_AGE_MS, getNow() - (fleet.confirmedAt ?? -Infinity))),
+      storeAgeMs: Math.round(Math.min(MAX_AGE_MS, getNow() - (fleet.confirmedAt ?? -Infinity))),
       inFlight: new Map(busy.map((target) => [target.incarnationHash, target.inFlight])),
       ...content
     }
--- a/packages/almondrelay-gateway/src/process/peers/peerState.ts
+++ b/packages/almondrelay-gateway/src/process/peers/peerState.ts
@@ -5,6 +5,6 @@
   incarnation: string
   sequence: number
   /** Time at which the report was received, in monotonic milliseconds. */
-  heardAt: number
+  receivedAt: number
   report: PeerReport
 }
--- a/packages/almondrelay-gateway/src/process/peers/peerView.ts
+++ b/packages/almondrelay-gateway/src/process/peers/peerView.ts
@@ -15,25 +15,25 @@
  * Minimum hosts of a region at which hosts that aren't watchers rely on the watchers for changes of the store. In smaller regions each
  * host watches the store itself: the calls are few, and its own watch reports changes sooner.
  */
-const LEAST_TO_RELY = 8
+const MIN_HOSTS_TO_RELY_ON_WATCHERS = 8
 /**
  * Maximum age of a watcher's state, as a share of the time within which a change must be known; the rest is left for a call to the
  * store. If this age were shorter than the wait of a watch and the report interval together, all hosts of a region would call the store
  * constantly.
  */
-const RELIED_PART = 0.75
+const MAX_WATCHER_AGE_SHARE = 0.75
 
 /** Age of the first watcher's state, in milliseconds, above which the second watcher relays changes. */
-const RELAY_SILENCE_MS = 2_500
+const RELAY_TIMEOUT_MS = 2_500
 
 /** Maximum senders kept (twice the hosts of the largest fleet) and regions kept. Anybody can send reports with made-up names. */
-const MOST_PEERS = 10_000
-const MOST_REGIONS = 100
+const MAX_PEERS = 10_000
+const MAX_REGIONS = 100
 
 const NO_COUNTS: ReadonlyMap<number, number> = new Map()
 
-interface RegionWord {
-  heardAt: number
+interface RegionReport {
+  receivedAt: number
   demands: readonly ServiceDemand[]
   /** The lowest revision in force among the region's hosts. */
   declaredRevision: number
@@ -42,9 +42,9 @@
 /** State of the other hosts as this host knows it, from their entries in the store and from their reports. */
 export class PeerView {
   /** Time at which the last report of any peer was received, in monotonic milliseconds; undefined before the first. */
-  lastHeardAt: number | undefined
+  lastReportAt: number | undefined
   private readonly peers = new Map<string, PeerState>()
-  private readonly regions = new Map<string, RegionWord>()
+  private readonly regions = new Map<string, RegionReport>()
   private readonly live: LiveHosts
   private readonly lost: LostHosts
 
@@ -54,36 +54,36 @@
   }
 
   /** Applies a report. Returns false, and ignores the report, if it is no newer than the last one of the sender's incarnation. */
-  hear (report: PeerReport, now: number): boolean {
+  receiveReport (report: PeerReport, now: number): boolean {
     const known = this.peers.get(report.host)
     if (known !== undefined && known.incarnation === report.incarnation && report.sequence <= known.sequence) return false
-    this.lastHeardAt = now
+    this.lastReportAt = now
     this.live.observeReport(known, report, now)
-    if (report.isRegional) putBounded(this.regions, report.region, { heardAt: now, demands: report.demands, declaredRevision: report.declaredRevision }, MOST_REGIONS)
+    if (report.isRegional) putBounded(this.regions, report.region, { receivedAt: now, demands: report.demands, declaredRevision: report.declaredRevision }, MAX_REGIONS)
     const isOwnDemand = !report.isRegional && report.demands.length > 0
     const demands = isOwnDemand ? report.demands : known?.report.demands ?? []
-    putBounded(this.peers, report.host, { incarnation: report.incarnation, sequence: report.sequence, heardAt: now, report: { ...report, demands } }, MOST_PEERS)
+    putBounded(this.peers, report.host, { incarnation: report.incarnation, sequence: report.sequence, receivedAt: now, report: { ...report, demands } }, MAX_PEERS)
     return true
   }
 
   /** Returns the requests in progress at targets from a host's last report; empty if there is none. */
-  findCounts (host: string): ReadonlyMap<number, number> {
+  findInFlightCounts (host: string): ReadonlyMap<number, number> {
     return this.peers.get(host)?.report.inFlight ?? NO_COUNTS
   }
 
   /** Returns the number of senders whose last report is kept. */
-  countHeard (): number {
+  countKnownSenders (): number {
     return this.peers.size
   }
 
   /** Returns the demands of the other hosts of this region, and those of each other region as a whole. */
   listDemands (now: number): RegionDemand[] {
-    const isFresh = ({ heardAt }: { heardAt: number }): boolean => now - heardAt <= DEMAND_MAX_AGE_MS
-    const near = [...this.peers.values()].filter((peer) => isFresh(peer) && peer.report.region === this.own.region)
-    const far = [...this.regions].filter(([region, word]) => isFresh(word) && region !== this.own.region)
+    const isFresh = ({ receivedAt: receivedAt }: { receivedAt: number }): boolean => now - receivedAt <= DEMAND_MAX_AGE_MS
+    const regionPeers = [...this.peers.values()].filter((peer) => isFresh(peer) && peer.report.region === this.own.region)
+    const otherRegions = [...this.regions].filter(([region, regionReport]) => isFresh(regionReport) && region !== this.own.region)
     return [
-      ...near.flatMap(({ report }) => report.demands.map((demand) => ({ region: report.region, demand }))),
-      ...far.flatMap(([region, { demands }]) => demands.map((demand) => ({ region, demand })))
+      ...regionPeers.flatMap(({ report }) => report.demands.map((demand) => ({ region: report.region, demand }))),
+      ...otherRegions.flatMap(([region, { demands }]) => demands.map((demand) => ({ region, demand })))
     ]
   }
 
@@ -91,27 +91,27 @@
    * Returns the hosts that serve callers, including this one. Hosts of other regions send few reports and are judged by their entries.
    */
   listLive (now: number): readonly HostEntry[] {
-    return this.live.find(now).live
+    return this.live.findLists(now).live
   }
 
   /**
    * Returns the lowest revision of the operators' resources in force among the peers of this region with recent reports; Infinity if
    * there are none.
    */
-  findLowestDeclared (now: number): number {
-    const near = this.live.listNear().filter((entry) => this.live.hasHeard(entry, now))
-    return near.reduce((lowest, { name }) => Math.min(lowest, this.peers.get(name)?.report.declaredRevision ?? Infinity), Infinity)
+  findLowestDeclaredRevision (now: number): number {
+    const regionHosts = this.live.listRegionHosts().filter((entry) => this.live.hasRecentReport(entry, now))
+    return regionHosts.reduce((lowest, { name }) => Math.min(lowest, this.peers.get(name)?.report.declaredRevision ?? Infinity), Infinity)
   }
 
   /**
    * Returns the last known state of another host: from the report of its region if that is another region and has reported, else its
    * own report.
    */
-  findWord (entry: HostEntry): { heardAt: number, isLeaving: boolean, declaredRevision: number } | undefined {
+  findLastReport (entry: HostEntry): { receivedAt: number, isLeaving: boolean, declaredRevision: number } | undefined {
     const peer = this.peers.get(entry.name)
-    const word = entry.region === this.own.region ? undefined : this.regions.get(entry.region)
-    if (word !== undefined) return { heardAt: word.heardAt, isLeaving: peer?.report.isLeaving === true && peer.incarnation === entry.incarnation, declaredRevision: word.declaredRevision }
-    return peer === undefined ? undefined : { heardAt: peer.heardAt, isLeaving: peer.report.isLeaving, declaredRevision: peer.report.declaredRevision }
+    const regionReport = entry.region === this.own.region ? undefined : this.regions.get(entry.region)
+    if (regionReport !== undefined) return { receivedAt: regionReport.receivedAt, isLeaving: peer?.report.isLeaving === true && peer.incarnation === entry.incarnation, declaredRevision: regionReport.declaredRevision }
+    return peer === undefined ? undefined : { receivedAt: peer.receivedAt, isLeaving: peer.report.isLeaving, declaredRevision: peer.report.declaredRevision }
   }
 
   /** Returns the number of hosts that may send requests, including those that may have exited; undefined until all hosts are known. */
@@ -125,7 +125,7 @@
   }
 
   /** Registers that a host's entry was removed from the store. */
-  observeGone ({ name, incarnation }: HostEntry, now: number): void {
+  observeEntryRemoved ({ name, incarnation }: HostEntry, now: number): void {
     const peer = this.peers.get(name)
     const hasLeft = peer?.incarnation === incarnation && peer.report.isLeaving
     if (!hasLeft) this.lost.add(name, now)
@@ -133,17 +133,17 @@
 
   /** Returns the availability zones that have live hosts. */
   listZones (now: number): string[] {
-    return [...this.live.find(now).summing.keys()]
+    return [...this.live.findLists(now).aggregators.keys()]
   }
 
   /** Returns the aggregators of an availability zone. Hosts that know the same live hosts choose the same aggregators. */
-  listSumming (availabilityZone: string, now: number): readonly HostEntry[] {
-    return this.live.find(now).summing.get(availabilityZone) ?? []
+  listAggregators (availabilityZone: string, now: number): readonly HostEntry[] {
+    return this.live.findLists(now).aggregators.get(availabilityZone) ?? []
   }
 
   /** Returns the aggregators of the other availability zones. */
-  listFarSumming (now: number): readonly HostEntry[] {
-    return this.listZones(now).filter((zone) => zone !== this.own.availabilityZone).flatMap((zone) => this.listSumming(zone, now))
+  listRemoteAggregators (now: number): readonly HostEntry[] {
+    return this.listZones(now).filter((zone) => zone !== this.own.availabilityZone).flatMap((zone) => this.listAggregators(zone, now))
   }
 
   /** Returns the other live hosts of this host's availability zone. */
@@ -162,19 +162,19 @@
   }
 
   /** Returns whether this host is an aggregator of its zone. */
-  isSumming (now: number): boolean {
-    return this.listSumming(this.own.availabilityZone, now).some(({ name }) => name === this.own.name)
+  isAggregator (now: number): boolean {
+    return this.listAggregators(this.own.availabilityZone, now).some(({ name }) => name === this.own.name)
   }
 
   /** Returns the number of hosts of this region; undefined until all hosts are known. */
   countRegionHosts (): number | undefined {
-    return this.fleet.isComplete ? Math.max(1, this.live.listNear().length) : undefined
+    return this.fleet.isComplete ? Math.max(1, this.live.listRegionHosts().length) : undefined
   }
 
   /** Returns the names of the hosts that send requests to a region's targets: the hosts of the region, or all hosts if it has none. */
   listSenders (region: string, now: number): readonly string[] | undefined {
     if (!this.fleet.isComplete) return undefined
-    const { live, senders } = this.live.find(now)
+    const { live, senders } = this.live.findLists(now)
     const known = senders.get(region)
     if (known !== undefined) return known
     const inRegion = live.filter((entry) => entry.region === region)
@@ -184,9 +184,9 @@
   }
 
   /** Returns whether this host is a representative of its region, or receives no reports from any other host of the region. */
-  isSpeaker (now: number): boolean {
-    if (!this.live.hasHeardNear(now)) return true
-    return this.listSpeakers(now).includes(this.own.name)
+  isRepresentative (now: number): boolean {
+    if (!this.live.hasRecentReportInRegion(now)) return true
+    return this.listRepresentatives(now).includes(this.own.name)
   }
 
   /**
@@ -194,9 +194,9 @@
    * a watcher relays decide where requests are sent. The report must therefore be of the watcher's current incarnation and come from
    * its own address or that of a host of this region, which may have forwarded it.
    */
-  isWatcher ({ host, incarnation }: PeerReport, ip: string, now: number): boolean {
-    const { speakers, nearAddresses } = this.live.find(now)
-    return speakers.includes(host) && this.fleet.findHost(host)?.incarnation === incarnation && nearAddresses.has(ip)
+  isReportFromWatcher ({ host, incarnation }: PeerReport, ip: string, now: number): boolean {
+    const { representatives: representatives, regionAddresses: regionAddresses } = this.live.findLists(now)
+    return representatives.includes(host) && this.fleet.findHost(host)?.incarnation === incarnation && regionAddresses.has(ip)
   }
 
   /**
@@ -204,15 +204,15 @@
    * the store. If both relayed changes all the time, half of the datagrams would be superfluous.
    */
   isRelay (now: number): boolean {
-    const [first] = this.listSpeakers(now)
+    const [first] = this.listRepresentatives(now)
     if (first === undefined || first === this.own.name) return true
     const peer = this.peers.get(first)
-    return peer === undefined || now - peer.heardAt + peer.report.storeAgeMs > RELAY_SILENCE_MS
+    return peer === undefined || now - peer.receivedAt + peer.report.storeAgeMs > RELAY_TIMEOUT_MS
   }
 
   /** Returns whether this region has so many hosts that those that aren't watchers rely on the watchers. */
-  hasManyNear (): boolean {
-    return this.live.listNear().length >= LEAST_TO_RELY
+  isLargeRegion (): boolean {
+    return this.live.listRegionHosts().length >= MIN_HOSTS_TO_RELY_ON_WATCHERS
   }
 
   /**
@@ -222,16 +222,16 @@
    * @param boundMs time within which this host must know of a change
    */
   hasReliableWatchers (boundMs: number, now: number): boolean {
-    if (!this.hasManyNear()) return false
-    const speakers = this.listSpeakers(now)
-    if (speakers.includes(this.own.name)) return false
-    return speakers.some((name) => {
+    if (!this.isLargeRegion()) return false
+    const representatives = this.listRepresentatives(now)
+    if (representatives.includes(this.own.name)) return false
+    return representatives.some((name) => {
       const peer = this.peers.get(name)
-      return peer !== undefined && now - peer.heardAt + peer.report.storeAgeMs <= boundMs * RELIED_PART
+      return peer !== undefined && now - peer.receivedAt + peer.report.storeAgeMs <= boundMs * MAX_WATCHER_AGE_SHARE
     })
   }
 
-  private listSpeakers (now: number): readonly string[] {
-    return this.live.find(now).speakers
+  private listRepresentatives (now: number): readonly string[] {
+    return this.live.findLists(now).representatives
   }
 }
--- a/packages/almondrelay-gateway/src/process/peers/splitChanges.ts
+++ b/packages/almondrelay-gateway/src/process/peers/splitChanges.ts
@@ -4,7 +4,7 @@
 import { encodeValue } from './encodeValue.js'
 
 /** Bytes of an encoded change in addition to its key and value. */
-const CHANGE_OVERHEAD = 24
+const CHANGE_OVERHEAD_BYTES = 24
 
 /**
  * Splits changes into chunks that each fit into a datagram. Every chunk names the revision with which the one before it ends, so that a
@@ -12,32 +12,32 @@
  *
  * @param maxBytes maximum bytes of one chunk
  */
-export function splitChanges ({ afterRevision, upToRevision, events }: RelayedChanges, mostBytes: number): RelayedChanges[] {
-  const parts: StoreEvent[][] = []
-  let left = 0
+export function splitChanges ({ afterRevision, upToRevision, events }: RelayedChanges, maxBytes: number): RelayedChanges[] {
+  const chunks: StoreEvent[][] = []
+  let remainingBytes = 0
   for (const event of events) {
     const bytes = countBytes(event)
-    if (bytes > mostBytes) return makeParts(parts, afterRevision, undefined)
-    if (bytes > left) {
-      parts.push([])
-      left = mostBytes
+    if (bytes > maxBytes) return makeChunks(chunks, afterRevision, undefined)
+    if (bytes > remainingBytes) {
+      chunks.push([])
+      remainingBytes = maxBytes
     }
-    parts.at(-1)?.push(event)
-    left -= bytes
+    chunks.at(-1)?.push(event)
+    remainingBytes -= bytes
   }
-  return makeParts(parts, afterRevision, upToRevision)
+  return makeChunks(chunks, afterRevision, upToRevision)
 }
 
 /** @param upToRevision revision that is known with the last chunk; undefined if changes after that chunk are left out */
-const makeParts = (parts: readonly StoreEvent[][], afterRevision: number, upToRevision: number | undefined): RelayedChanges[] => {
-  const ends = parts.map((events) => getEventRevision(events.at(-1) as StoreEvent))
-  return parts.map((events, index) => ({
+const makeChunks = (chunks: readonly StoreEvent[][], afterRevision: number, upToRevision: number | undefined): RelayedChanges[] => {
+  const ends = chunks.map((events) => getEventRevision(events.at(-1) as StoreEvent))
+  return chunks.map((events, index) => ({
     afterRevision: ends[index - 1] ?? afterRevision,
-    upToRevision: index === parts.length - 1 && upToRevision !== undefined ? upToRevision : ends[index] as number,
+    upToRevision: index === chunks.length - 1 && upToRevision !== undefined ? upToRevision : ends[index] as number,
     events,
     forwardTo: []
   }))
 }
 
-const countBytes = (event: StoreEvent): number => CHANGE_OVERHEAD +
+const countBytes = (event: StoreEvent): number => CHANGE_OVERHEAD_BYTES +
   (event.kind === 'written' ? Buffer.byteLength(event.item.key) + encodeValue(event.item.value).value.byteLength : Buffer.byteLength(event.key))
--- a/packages/almondrelay-gateway/src/process/quarantine/suspectExchange.ts
+++ b/packages/almondrelay-gateway/src/process/quarantine/suspectExchange.ts
@@ -89,7 +89,7 @@
 
   private sendToAll (states: readonly SuspectState[], now: number): number {
     const { view } = this.parts
-    return this.send(view.listZonePeers(now), states, false) + this.send(view.listFarSumming(now), states, true)
+    return this.send(view.listZonePeers(now), states, false) + this.send(view.listRemoteAggregators(now), states, true)
   }
 
   /** Returns the number of bytes sent. */
--- a/packages/almondrelay-stand-ins/src/capacity/measureForwarding.ts
+++ b/packages/almondrelay-stand-ins/src/capacity/measureForwarding.ts
@@ -1,4 +1,4 @@
-import { chooseTarget, decodeDatagram, encodeReport, makeRoute, makeTarget, RouteTable } from 'almondrelay-gateway/testing'
+import { chooseTarget, decodeDatagram, encodeLoadReport, makeRoute, makeTarget, RouteTable } from 'almondrelay-gateway/testing'
 import type { CapacitySection } from './capacitySection.js'
 import { measureMs } from './measureMs.js'
 import type { Point } from './point.js'
@@ -63,7 +63,7 @@
   return measureMs(() => { for (let decision = 0; decision < DECISIONS; decision += 1) table.findRoute('h3.example', `/p${decision % count}/a/b`) }) / DECISIONS * US_PER_MS
 }
 
-const buildReport = (busyTargets: number): Uint8Array => encodeReport({
+const buildReport = (busyTargets: number): Uint8Array => encodeLoadReport({
   host: 'front-region00-zone00-01',
   incarnation: '1790000000000-12345',
   region: 'region00',
