--- a/packages/almondrelay-gateway/src/connection/__fixtures__/plainCodec.ts
+++ b/packages/almondrelay-gateway/src/connection/__fixtures__/plainTargetCodec.ts
@@ -3,7 +3,7 @@
 import { TargetCodec } from '../targetCodec.js'
 
 /** Target codec with simple headers for tests. */
-export class PlainCodec extends TargetCodec {
+export class PlainTargetCodec extends TargetCodec {
   override encodeHead (request: CallerRequest, targetId: string, leftMs: number): string {
     return `${request.method} ${request.url} HTTP/1.1\r\nid: ${request.id}\r\ntarget: ${targetId}\r\nleft: ${leftMs}\r\ncontent-length: ${request.body.length}\r\n\r\n`
   }
--- a/packages/almondrelay-gateway/src/connection/__tests__/bodyMemory.test.ts
+++ b/packages/almondrelay-gateway/src/connection/__tests__/answerMemory.test.ts
@@ -1,11 +1,11 @@
 import { suite } from 'uvu'
 import * as assert from 'uvu/assert'
-import { BodyMemory } from '../bodyMemory.js'
+import { AnswerMemory } from '../answerMemory.js'
 
 const test = suite('AnswerMemory')
 
 test('the memory counts as filling above half of the bound, until bytes are released', () => {
-  const memory = new BodyMemory(100)
+  const memory = new AnswerMemory(100)
   assert.ok(memory.hold(50))
   assert.not(memory.isFilling)
   assert.ok(memory.hold(10))
@@ -15,7 +15,7 @@
 })
 
 test('bytes beyond the bound are reported, and count until they are released', () => {
-  const memory = new BodyMemory(100)
+  const memory = new AnswerMemory(100)
   assert.not(memory.hold(120))
   assert.is(memory.heldBytes, 120)
   memory.release(120)
--- a/packages/almondrelay-gateway/src/connection/__tests__/callerServer.test.ts
+++ b/packages/almondrelay-gateway/src/connection/__tests__/callerServer.test.ts
@@ -2,7 +2,7 @@
 import { suite } from 'uvu'
 import * as assert from 'uvu/assert'
 import type { CallerAnswer } from '../callerAnswer.js'
-import { BodyMemory } from '../bodyMemory.js'
+import { AnswerMemory } from '../answerMemory.js'
 import { CallerServer } from '../callerServer.js'
 import { TurnQueue } from '../turnQueue.js'
 
@@ -16,12 +16,12 @@
   port = 0
   readonly paths: string[] = []
   /** Paths of the requests whose signal reported that the caller disconnected. */
-  readonly left: string[] = []
+  readonly abortedPaths: string[] = []
   private readonly finishers = new Map<string, (answer: CallerAnswer) => void>()
-  readonly memory = new BodyMemory(Infinity)
+  readonly memory = new AnswerMemory(Infinity)
   readonly server = new CallerServer((message, left) => new Promise((resolve) => {
     this.paths.push(message.url ?? '')
-    left.addEventListener('abort', () => { this.left.push(message.url ?? '') })
+    left.addEventListener('abort', () => { this.abortedPaths.push(message.url ?? '') })
     this.finishers.set(message.url ?? '', resolve)
   }), new TurnQueue(() => performance.now()), this.memory, (error) => { throw error })
 
@@ -117,7 +117,7 @@
   await waitFor(() => held.paths.length === 3, 'the requests')
   assert.is(held.server.countUnanswered(), 3)
   socket.destroy()
-  await waitFor(() => held.left.length === 3, 'the abort of each request')
+  await waitFor(() => held.abortedPaths.length === 3, 'the abort of each request')
   assert.is(held.server.countUnanswered(), 0)
   held.server.close()
 })
--- a/packages/almondrelay-gateway/src/connection/__tests__/targetConnection.test.ts
+++ b/packages/almondrelay-gateway/src/connection/__tests__/targetConnection.test.ts
@@ -1,19 +1,19 @@
 import { suite } from 'uvu'
 import * as assert from 'uvu/assert'
 import { makeRequest } from '../__fixtures__/makeRequest.js'
-import { PlainCodec } from '../__fixtures__/plainCodec.js'
+import { PlainTargetCodec } from '../__fixtures__/plainTargetCodec.js'
 import { resetSocket } from '../__fixtures__/resetSocket.js'
 import { startScriptedTarget } from '../__fixtures__/scriptedTarget.js'
-import { BodyMemory } from '../bodyMemory.js'
+import { AnswerMemory } from '../answerMemory.js'
 import { ConnectFailure } from '../connectFailure.js'
 import { TargetConnection } from '../targetConnection.js'
 
 const test = suite('TargetConnection')
-const codec = new PlainCodec()
+const codec = new PlainTargetCodec()
 const ANSWER_TO_FIRST = 'HTTP/1.1 200 OK\r\nid: r1\r\nsigned: yes\r\nkeep: 10000\r\ncontent-length: 5\r\n\r\nfirst'
 const ANSWER_TO_SECOND = 'HTTP/1.1 200 OK\r\nid: r2\r\nsigned: yes\r\nkeep: 10000\r\ncontent-length: 6\r\n\r\nsecond'
 let owner = new AbortController()
-let memory = new BodyMemory(Infinity)
+let memory = new AnswerMemory(Infinity)
 
 const open = async (port: number): Promise<TargetConnection> => {
   const opened = await TargetConnection.open('127.0.0.1', port, 1_000, { codec, getNow: () => 0, memory }, () => undefined)
@@ -23,7 +23,7 @@
 
 test.before.each(() => {
   owner = new AbortController()
-  memory = new BodyMemory(Infinity)
+  memory = new AnswerMemory(Infinity)
 })
 test.after.each(() => { owner.abort() })
 
@@ -44,7 +44,7 @@
 // Fifty callers download 16 MB each at once. Buffered without a bound, the answers took more memory than the process may use,
 // and it was killed with all of its requests.
 test('an answer that exceeds the memory bound is dropped, and its bytes are released', async () => {
-  memory = new BodyMemory(2)
+  memory = new AnswerMemory(2)
   const port = await startScriptedTarget((socket) => { socket.write(ANSWER_TO_FIRST.slice(0, -2)) }, owner.signal)
   const result = await (await open(port)).exchange(makeRequest(), codec.encodeHead(makeRequest(), 't', 100))
   assert.is(result.kind, 'broken')
@@ -106,7 +106,7 @@
 // Guards against an answer that ends the process, and with it all requests of the host.
 test('an answer whose decoding throws fails its own request alone', async () => {
   const port = await startScriptedTarget((socket) => { socket.write(ANSWER_TO_FIRST) }, owner.signal)
-  const failing = new PlainCodec()
+  const failing = new PlainTargetCodec()
   failing.decodeAnswerHead = () => { throw new Error('not to be dealt with') }
   const opened = await TargetConnection.open('127.0.0.1', port, 1_000, { codec: failing, getNow: () => 0, memory }, () => undefined)
   if (opened.kind === 'failed') throw new Error(opened.failure)
--- a/packages/almondrelay-gateway/src/connection/__tests__/targetPool.test.ts
+++ b/packages/almondrelay-gateway/src/connection/__tests__/targetPool.test.ts
@@ -2,20 +2,20 @@
 import * as assert from 'uvu/assert'
 import { makeTarget } from '../../request/__fixtures__/makeTarget.js'
 import { makeRequest } from '../__fixtures__/makeRequest.js'
-import { PlainCodec } from '../__fixtures__/plainCodec.js'
+import { PlainTargetCodec } from '../__fixtures__/plainTargetCodec.js'
 import { startScriptedTarget } from '../__fixtures__/scriptedTarget.js'
-import { BodyMemory } from '../bodyMemory.js'
+import { AnswerMemory } from '../answerMemory.js'
 import { ConnectFailure } from '../connectFailure.js'
 import type { TargetConnection } from '../targetConnection.js'
 import { TargetPool } from '../targetPool.js'
 
 const test = suite('TargetPool')
-const codec = new PlainCodec()
+const codec = new PlainTargetCodec()
 const ANSWER = 'HTTP/1.1 200 OK\r\nid: r1\r\nsigned: yes\r\nkeep: 10000\r\ncontent-length: 2\r\n\r\nok'
 let owner = new AbortController()
 
 const open = async (port: number): Promise<{ pool: TargetPool, connection: TargetConnection }> => {
-  const pool = new TargetPool({ codec, getNow: () => 0, memory: new BodyMemory(Infinity) }, { countOpened: () => undefined, observeConnect: () => undefined, observeFailure: () => undefined })
+  const pool = new TargetPool({ codec, getNow: () => 0, memory: new AnswerMemory(Infinity) }, { countOpened: () => undefined, observeConnect: () => undefined, observeFailure: () => undefined })
   const opened = await pool.acquire(makeTarget({ port }).entry, 1_000)
   if (opened.kind === 'failed') throw new Error(opened.failure)
   return { pool, connection: opened.connection }
--- a/packages/almondrelay-gateway/src/connection/bodyMemory.ts
+++ b/packages/almondrelay-gateway/src/connection/answerMemory.ts
@@ -1,5 +1,5 @@
 /** Share of the bound above which new requests are refused, so that answers that are still being received fit. */
-const FILLING_PART = 0.5
+const FILLING_SHARE = 0.5
 
 /**
  * Bytes of answers that this process holds, from their first byte until their caller has them.
@@ -8,15 +8,15 @@
  * takes too much memory is killed with every request that it has. From half of the bound on new requests are refused
  * before they run; an answer that would exceed the bound is dropped.
  */
-export class BodyMemory {
+export class AnswerMemory {
   private held = 0
 
-  constructor (private readonly mostBytes: number) {}
+  constructor (private readonly maxBytes: number) {}
 
   /** Counts bytes; returns false if the sum exceeds the bound. In either case they count until they are released. */
   hold (bytes: number): boolean {
     this.held += bytes
-    return this.held <= this.mostBytes
+    return this.held <= this.maxBytes
   }
 
   release (bytes: number): void {
@@ -29,6 +29,6 @@
 
   /** Whether so many bytes are held that new requests are refused. */
   get isFilling (): boolean {
-    return this.held > this.mostBytes * FILLING_PART
+    return this.held > this.maxBytes * FILLING_SHARE
   }
 }
--- a/packages/almondrelay-gateway/src/connection/callerHead.ts
+++ b/packages/almondrelay-gateway/src/connection/callerHead.ts
@@ -6,5 +6,5 @@
   organisationKey: string | undefined
   affinityKey: string | undefined
   /** Milliseconds that the caller waits for the answer; undefined if it does not say. */
-  waitsMs: number | undefined
+  callerTimeoutMs: number | undefined
 }
--- a/packages/almondrelay-gateway/src/connection/callerServer.ts
+++ b/packages/almondrelay-gateway/src/connection/callerServer.ts
@@ -1,9 +1,9 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import { Server as NetServer, type Socket } from 'node:net'
 import type { RequestLimits } from '../version/requestLimits.js'
-import type { BodyMemory } from './bodyMemory.js'
+import type { AnswerMemory } from './answerMemory.js'
 import type { CallerAnswer } from './callerAnswer.js'
-import { MOST_UNACCEPTED } from './listenBacklog.js'
+import { LISTEN_BACKLOG } from './listenBacklog.js'
 import type { TurnQueue } from './turnQueue.js'
 
 /** Milliseconds between checks for connections whose request heads have not arrived in time. */
@@ -11,9 +11,9 @@
 /** Milliseconds for which a connection is kept open beyond the configured limit: a caller's request may cross with the close. */
 const IDLE_MARGIN_MS = 1_000
 /** Size of an answer body, in bytes, from which it is counted: smaller ones fit into the kernel's buffer of a connection. */
-const LEAST_COUNTED_BYTES = 16 * 1024
+const MIN_COUNTED_BYTES = 16 * 1024
 /** Milliseconds within which a caller must have read its answer: twice as long as any caller waits for one. */
-const SLOWEST_READ_MS = 30_000
+const READ_TIMEOUT_MS = 30_000
 /** Milliseconds within which a whole request must arrive. */
 const REQUEST_TIMEOUT_MS = 60_000
 
@@ -21,7 +21,7 @@
  * Handles one request; resolves with undefined if the caller gets no answer. The signal aborts when the caller disconnects;
  * `arrivedAt` is when the head of the request was read, in monotonic milliseconds.
  */
-type HandleRequest = (message: IncomingMessage, left: AbortSignal, arrivedAt: number) => Promise<CallerAnswer | undefined>
+type HandleRequest = (message: IncomingMessage, callerLeft: AbortSignal, arrivedAt: number) => Promise<CallerAnswer | undefined>
 
 interface ConnectionState {
   /** Response to the request that was read last; responses are sent in the order of their requests. */
@@ -31,14 +31,14 @@
   /** Requests that were read and whose answers have not been sent in full; aborted when the caller disconnects. */
   unanswered: Set<AbortController>
   /** Bytes read on the connection when the last answer was sent; any beyond them are the beginning of another request. */
-  bytesAnswered: number
+  bytesReadAtLastAnswer: number
 }
 
 interface AcceptedRequest {
   message: IncomingMessage
   response: ServerResponse
   connection: ConnectionState
-  left: AbortSignal
+  callerLeft: AbortSignal
   arrivedAt: number
 }
 
@@ -48,11 +48,11 @@
   private isLeaving = false
   private readonly connections = new Map<Socket, ConnectionState>()
 
-  constructor (private readonly handleRequest: HandleRequest, private readonly turns: TurnQueue, private readonly memory: BodyMemory, private readonly logError: (error: Error) => void) {
+  constructor (private readonly handleRequest: HandleRequest, private readonly turns: TurnQueue, private readonly memory: AnswerMemory, private readonly logError: (error: Error) => void) {
     this.server = createServer({ connectionsCheckingInterval: CHECK_INTERVAL_MS, requestTimeout: REQUEST_TIMEOUT_MS, noDelay: true })
     this.server.on('connection', (socket: Socket) => {
       turns.observeAccept()
-      this.findConnection(socket)
+      this.findOrAddConnection(socket)
     })
     this.server.on('request', (message, response) => { this.accept(message, response) })
   }
@@ -61,7 +61,7 @@
   listen (ip: string, port: number): Promise<number> {
     return new Promise((resolve, reject) => {
       this.server.once('error', reject)
-      this.server.listen(port, ip, MOST_UNACCEPTED, () => {
+      this.server.listen(port, ip, LISTEN_BACKLOG, () => {
         this.server.off('error', reject)
         this.server.on('error', this.logError)
         const address = this.server.address()
@@ -95,7 +95,7 @@
    */
   close (): void {
     for (const [socket, connection] of this.connections) {
-      const hasBegun = socket.bytesRead > connection.bytesAnswered
+      const hasBegun = socket.bytesRead > connection.bytesReadAtLastAnswer
       connection.isClosing = connection.unanswered.size > 0 || !hasBegun
       if (connection.unanswered.size === 0 && !hasBegun) socket.destroySoon()
     }
@@ -104,26 +104,26 @@
 
   private accept (message: IncomingMessage, response: ServerResponse): void {
     if (message.socket.destroyed) return
-    const connection = this.findConnection(message.socket)
+    const connection = this.findOrAddConnection(message.socket)
     // The caller assumes that requests after the last answer were not read and sends them again: if handled here, they would run twice.
     if (connection.isClosing) return
-    const left = new AbortController()
+    const callerLeft = new AbortController()
     const isFirst = connection.last === undefined
     connection.last = response
-    connection.unanswered.add(left)
+    connection.unanswered.add(callerLeft)
     response.once('finish', () => {
-      connection.unanswered.delete(left)
-      connection.bytesAnswered = message.socket.bytesRead
+      connection.unanswered.delete(callerLeft)
+      connection.bytesReadAtLastAnswer = message.socket.bytesRead
     })
     this.turns.push((arrivedAt) => {
-      this.serve({ message, response, connection, left: left.signal, arrivedAt }).catch((error: Error) => { this.abortAnswer(response, error) })
+      this.serve({ message, response, connection, callerLeft: callerLeft.signal, arrivedAt }).catch((error: Error) => { this.abortAnswer(response, error) })
     }, isFirst)
   }
 
-  private async serve ({ message, response, connection, left, arrivedAt }: AcceptedRequest): Promise<void> {
+  private async serve ({ message, response, connection, callerLeft: callerLeft, arrivedAt }: AcceptedRequest): Promise<void> {
     // The caller disconnected while its request was queued: handling it would only delay requests whose callers still wait.
-    if (left.aborted) return
-    const answer = await this.handleRequest(message, left, arrivedAt)
+    if (callerLeft.aborted) return
+    const answer = await this.handleRequest(message, callerLeft, arrivedAt)
     if (answer === undefined || response.destroyed) return
     // Of two requests on a connection the second may be answered first: closing after the first one's answer would cut off the second's.
     const isLast = this.isLeaving && connection.last === response
@@ -135,23 +135,23 @@
 
   /** Counts the body until the caller has received it. A caller that stops reading would otherwise hold the memory for ever. */
   private holdUntilRead (response: ServerResponse, bytes: number): void {
-    if (bytes < LEAST_COUNTED_BYTES) return
+    if (bytes < MIN_COUNTED_BYTES) return
     this.memory.hold(bytes)
-    const timer = setTimeout(() => { response.destroy() }, SLOWEST_READ_MS)
+    const timer = setTimeout(() => { response.destroy() }, READ_TIMEOUT_MS)
     response.once('close', () => {
       clearTimeout(timer)
       this.memory.release(bytes)
     })
   }
 
-  private findConnection (socket: Socket): ConnectionState {
+  private findOrAddConnection (socket: Socket): ConnectionState {
     const known = this.connections.get(socket)
     if (known !== undefined) return known
-    const state = { last: undefined, isClosing: false, unanswered: new Set<AbortController>(), bytesAnswered: 0 }
+    const state = { last: undefined, isClosing: false, unanswered: new Set<AbortController>(), bytesReadAtLastAnswer: 0 }
     this.connections.set(socket, state)
     // Listens on the socket and not on each response: a response that is queued behind another one on a connection with several
     // pending requests gets no event when the caller disconnects, and its request would go on although nobody waits for it.
-    const abortAll = (): void => { for (const left of state.unanswered) left.abort() }
+    const abortAll = (): void => { for (const callerLeft of state.unanswered) callerLeft.abort() }
     socket.once('end', abortAll)
     socket.once('close', () => {
       this.connections.delete(socket)
--- a/packages/almondrelay-gateway/src/connection/connectionParts.ts
+++ b/packages/almondrelay-gateway/src/connection/connectionParts.ts
@@ -1,4 +1,4 @@
-import type { BodyMemory } from './bodyMemory.js'
+import type { AnswerMemory } from './answerMemory.js'
 import type { TargetCodec } from './targetCodec.js'
 
 /** Dependencies shared by all connections to targets. */
@@ -6,5 +6,5 @@
   codec: TargetCodec
   /** Monotonic milliseconds. */
   getNow: () => number
-  memory: BodyMemory
+  memory: AnswerMemory
 }
--- a/packages/almondrelay-gateway/src/connection/listenBacklog.ts
+++ b/packages/almondrelay-gateway/src/connection/listenBacklog.ts
@@ -3,4 +3,4 @@
  * up after a third of a second to a second without being read: behind more than these, every connection would be abandoned
  * already when it is accepted, and accepting it would delay those behind it.
  */
-export const MOST_UNACCEPTED = 128
+export const LISTEN_BACKLOG = 128
--- a/packages/almondrelay-gateway/src/connection/targetConnection.ts
+++ b/packages/almondrelay-gateway/src/connection/targetConnection.ts
@@ -8,22 +8,22 @@
 import type { ConnectionParts } from './connectionParts.js'
 
 /** Milliseconds for which an idle connection is reused if the target states no keep-alive timeout. */
-const UNSTATED_IDLE_MS = 500
+const DEFAULT_IDLE_TIMEOUT_MS = 500
 /** Milliseconds subtracted from a target's keep-alive timeout: the target's close and the next request may cross on the network. */
 const IDLE_MARGIN_MS = 750
 
-interface Pending {
+interface PendingRequest {
   requestId: string
   finish: (result: AttemptResult) => void
 }
 
 /** Connection to a target, with at most one pending request. */
 export class TargetConnection {
-  private pending: Pending | undefined
+  private pending: PendingRequest | undefined
   private readonly reader: AnswerReader
   private isOpen = false
-  private isDone = false
-  private isTaken = false
+  private isDestroyed = false
+  private isReserved = false
   /** Why the connection closes after its next answer; undefined while it may be reused. */
   private closeReason: string | undefined
   private unusableAt = Infinity
@@ -31,8 +31,8 @@
   private constructor (private readonly socket: Socket, private readonly parts: ConnectionParts, private readonly handleClose: () => void) {
     this.reader = new AnswerReader(parts.codec, parts.memory, (answer) => { this.handleAnswer(answer) })
     socket.setNoDelay(true)
-    socket.on('data', (bytes: Buffer) => { this.readWithin(() => { if (!this.reader.acceptBytes(bytes)) this.close('bytes that are no answer, or more than there is room for') }) })
-    socket.on('end', () => { this.readWithin(() => { this.handleEnd() }) })
+    socket.on('data', (bytes: Buffer) => { this.readSafely(() => { if (!this.reader.acceptBytes(bytes)) this.close('bytes that are no answer, or more than there is room for') }) })
+    socket.on('end', () => { this.readSafely(() => { this.handleEnd() }) })
     socket.on('error', (error: NodeJS.ErrnoException) => { this.close(error.code ?? error.message) })
     socket.on('close', () => { this.close('closed') })
   }
@@ -51,37 +51,37 @@
   }
 
   isUsable (now: number): boolean {
-    return this.isOpen && !this.isDone && !this.isTaken && now < this.unusableAt && this.socket.writableLength === 0
+    return this.isOpen && !this.isDestroyed && !this.isReserved && now < this.unusableAt && this.socket.writableLength === 0
   }
 
   /** Reserves the connection for one request: otherwise two requests in the same turn of the event loop would share it. */
   take (): void {
-    this.isTaken = true
+    this.isReserved = true
   }
 
   /** Returns a reserved connection on which no request was sent. */
   release (): void {
-    this.isTaken = false
+    this.isReserved = false
     if (this.closeReason !== undefined) this.close(this.closeReason)
   }
 
   /** Closes the connection now, or after the answer to its pending request. */
   closeWhenFree (reason: string): void {
-    if (this.isTaken) this.closeReason = reason
+    if (this.isReserved) this.closeReason = reason
     else this.close(reason)
   }
 
   get isClosed (): boolean {
-    return this.isDone
+    return this.isDestroyed
   }
 
   get isBusy (): boolean {
-    return this.isTaken
+    return this.isReserved
   }
 
   /** Sends a request and waits for its answer. An answer to another request is discarded. */
   exchange (request: CallerRequest, head: string): Promise<AttemptResult> {
-    if (this.isDone) return Promise.resolve({ kind: 'not-sent', reason: 'connection lost before the request' })
+    if (this.isDestroyed) return Promise.resolve({ kind: 'not-sent', reason: 'connection lost before the request' })
     return new Promise((resolve) => {
       this.pending = { requestId: request.id, finish: resolve }
       this.reader.isBodiless = request.method === 'HEAD'
@@ -98,8 +98,8 @@
 
   /** Closes the connection and abandons a pending request, which makes most targets abort it. */
   close (reason: string): void {
-    if (this.isDone) return
-    this.isDone = true
+    if (this.isDestroyed) return
+    this.isDestroyed = true
     this.socket.destroy()
     this.reader.drop()
     this.finish({ kind: 'broken', reason })
@@ -107,7 +107,7 @@
   }
 
   // An answer whose handling throws must fail only its own request, and not end the process with all other requests.
-  private readWithin (read: () => void): void {
+  private readSafely (read: () => void): void {
     try {
       read()
     } catch (error) {
@@ -127,7 +127,7 @@
     // A target may send an answer twice, the second time late. Taken for the answer to the next request, it would give one caller
     // another caller's data, so the request id that the target echoes is checked.
     if (this.pending === undefined || answer.head.requestId !== this.pending.requestId) return
-    const idleMs = answer.head.keepAliveMs === undefined ? UNSTATED_IDLE_MS : answer.head.keepAliveMs - IDLE_MARGIN_MS
+    const idleMs = answer.head.keepAliveMs === undefined ? DEFAULT_IDLE_TIMEOUT_MS : answer.head.keepAliveMs - IDLE_MARGIN_MS
     this.unusableAt = this.parts.getNow() + idleMs
     this.finish({ kind: 'answered', ...answer })
     if (answer.head.closesConnection) this.close('last answer')
@@ -137,7 +137,7 @@
   private finish (result: AttemptResult): void {
     const { pending } = this
     this.pending = undefined
-    this.isTaken = false
+    this.isReserved = false
     pending?.finish(result)
   }
 }
--- a/packages/almondrelay-gateway/src/connection/turnQueue.ts
+++ b/packages/almondrelay-gateway/src/connection/turnQueue.ts
@@ -1,4 +1,4 @@
-import { MOST_UNACCEPTED } from './listenBacklog.js'
+import { LISTEN_BACKLOG } from './listenBacklog.js'
 
 /**
  * Milliseconds of work on requests in one turn of the event loop, and the same while connections arrive.
@@ -10,7 +10,7 @@
 const SLICE_MS = 4
 const ACCEPTING_SLICE_MS = 1
 
-interface Waiting {
+interface QueuedRequest {
   queuedAt: number
   run: (queuedAt: number) => void
 }
@@ -22,10 +22,10 @@
  * that callers disconnected, timers) runs between the slices instead of after all requests.
  */
 export class TurnQueue {
-  private readonly waiting: Waiting[] = []
+  private readonly waiting: QueuedRequest[] = []
   private turn = 0
   private turnStartedAt = 0
-  private hasAccepted = false
+  private hasAcceptedInTurn = false
   /** Since when every turn of the loop has accepted a connection; undefined if the last turn accepted none. */
   private acceptingSince: number | undefined
   /** Number of connections accepted since `acceptingSince`. */
@@ -49,7 +49,7 @@
 
   /** Records that a connection was accepted: more may be waiting. */
   observeAccept (): void {
-    this.hasAccepted = true
+    this.hasAcceptedInTurn = true
     this.accepted += 1
     if (this.acceptingSince !== undefined) return
     this.acceptingSince = this.getNow()
@@ -67,8 +67,8 @@
    */
   computeAcceptDelay (now: number): number {
     if (this.acceptingSince === undefined) return 0
-    const lastsMs = Math.max(0, now - this.acceptingSince)
-    return Math.min(lastsMs, lastsMs / this.accepted * MOST_UNACCEPTED)
+    const acceptingMs = Math.max(0, now - this.acceptingSince)
+    return Math.min(acceptingMs, acceptingMs / this.accepted * LISTEN_BACKLOG)
   }
 
   /** Returns how long the first request in the queue has waited, in milliseconds; 0 if the queue is empty. */
@@ -78,11 +78,11 @@
   }
 
   private checkAccepting (): void {
-    if (!this.hasAccepted) {
+    if (!this.hasAcceptedInTurn) {
       this.acceptingSince = undefined
       return
     }
-    this.hasAccepted = false
+    this.hasAcceptedInTurn = false
     setImmediate(() => { this.checkAccepting() })
   }
 
--- a/packages/almondrelay-gateway/src/process/fleet/__fixtures__/fakeRevisionStore.ts
+++ b/packages/almondrelay-gateway/src/process/fleet/__fixtures__/fakeRevisionStore.ts
@@ -16,7 +16,7 @@
   /** Every call fails without any effect. */
   isDown = false
   /** Watches answer without events, whatever has changed. */
-  isDeaf = false
+  hidesEvents = false
   /** Watches never answer, as on a connection that is silently dead. */
   isHung = false
   /** Commits take effect and their answers are lost. */
@@ -32,7 +32,7 @@
   /** Number of pages listed so far that were current. */
   currentPages = 0
   private revision = 1
-  private oldestEvent = 0
+  private oldestRevision = 0
   private readonly items = new Map<string, { value: Buffer, revision: number, createdRevision: number, leaseId: number }>()
   private events: StoreEvent[] = []
   private leases = 0
@@ -71,7 +71,7 @@
 
   /** Drops the history of all changes so far. */
   dropHistory (): void {
-    this.oldestEvent = this.revision
+    this.oldestRevision = this.revision
     this.events = []
   }
 
@@ -89,9 +89,9 @@
     if (this.isHung) await waitForAbort(signal)
     await new Promise((resolve) => { setTimeout(resolve, 1) })
     if (this.isDown) return this.refuse('watch')
-    if (afterRevision < this.oldestEvent) return { kind: 'history-gone' }
-    const events = this.isDeaf ? [] : this.listEvents(prefix, afterRevision)
-    return { kind: 'events', events, revision: this.isDeaf ? afterRevision : this.revision }
+    if (afterRevision < this.oldestRevision) return { kind: 'history-gone' }
+    const events = this.hidesEvents ? [] : this.listEvents(prefix, afterRevision)
+    return { kind: 'events', events, revision: this.hidesEvents ? afterRevision : this.revision }
   }
 
   override get (key: string): Promise<StoreItem | undefined> {
--- a/packages/almondrelay-gateway/src/process/fleet/__fixtures__/followedFleet.ts
+++ b/packages/almondrelay-gateway/src/process/fleet/__fixtures__/followedFleet.ts
@@ -16,7 +16,7 @@
   /** Whether the follower may rely on other hosts of the region that watch the store. */
   reliesOnWatchers = false
   /** Number of full reads that left out some of the product's own keys. */
-  unreadKeys = 0
+  omittingReads = 0
   readonly store = new FakeRevisionStore()
   readonly health = new StoreHealth()
   /** Ids of targets that were removed, and of those that restarted. */
@@ -26,7 +26,7 @@
   /** Changes that were relayed to the other hosts of the region. */
   readonly relayed: RelayedChanges[] = []
   /** Fingerprints of the suspect records that were removed. */
-  readonly lapsedSuspects: string[] = []
+  readonly removedSuspects: string[] = []
   /** Whether applying a suspect record throws. */
   failsOnSuspects = false
   /** Whether the hosts of the region rely on this host's watch. */
@@ -52,11 +52,11 @@
     hasReliableWatchers: () => this.reliesOnWatchers,
     relay: (changes) => { this.relayed.push(changes) },
     handleConfiguration: () => undefined,
-    handleOwnEntryGone: () => undefined,
-    handleDeclared: () => undefined,
-    handleSuspect: () => { if (this.failsOnSuspects) throw new Error('simulated failure') },
-    handleSuspectGone: (fingerprint) => { this.lapsedSuspects.push(fingerprint) },
-    handleUnreadKeys: () => { this.unreadKeys += 1 }
+    handleOwnEntryRemoved: () => undefined,
+    handleDeclaredChange: () => undefined,
+    handleSuspectRecord: () => { if (this.failsOnSuspects) throw new Error('simulated failure') },
+    handleSuspectRecordRemoved: (fingerprint) => { this.removedSuspects.push(fingerprint) },
+    handleOmittedKeys: () => { this.omittingReads += 1 }
   })
 
   private running: Promise<void> | undefined
--- a/packages/almondrelay-gateway/src/process/fleet/__tests__/fleetFollower.test.ts
+++ b/packages/almondrelay-gateway/src/process/fleet/__tests__/fleetFollower.test.ts
@@ -58,12 +58,12 @@
 test('after the history was dropped all keys are read again, and what is missing from them is removed', async () => {
   const { fleet, store } = followed
   await followed.waitFor(() => fleet.isComplete, 'first read')
-  store.isDeaf = true
+  store.hidesEvents = true
   store.remove('target/1')
   followed.writeTarget('3')
   store.write('configuration', { version: 6 })
   store.dropHistory()
-  store.isDeaf = false
+  store.hidesEvents = false
   await followed.waitFor(() => fleet.configuration?.version === 6, 'version 6')
   assert.equal(fleet.listTargetIds().sort(), ['2', '3'])
 })
@@ -121,9 +121,9 @@
   await new Promise((resolve) => { setTimeout(resolve, 700) })
   store.remove('target/1')
   store.isHung = false
-  follower.hearRevision(store.latestRevision, 0, 10_000)
+  follower.receivePeerRevision(store.latestRevision, 0, 10_000)
   assert.ok(fleet.findTarget('1') !== undefined)
-  follower.hearRevision(store.latestRevision, 0, 11_000)
+  follower.receivePeerRevision(store.latestRevision, 0, 11_000)
   await followed.waitFor(() => fleet.findTarget('1') === undefined, 'end of target 1')
 })
 
@@ -233,7 +233,7 @@
   followed.store.write('use/account/b', {})
   followed.start()
   await followed.waitFor(() => followed.fleet.isComplete, 'the first read')
-  assert.is(followed.unreadKeys, 0)
+  assert.is(followed.omittingReads, 0)
   await followed.stop()
   const cut = new FollowedFleet()
   cut.store.pageItems = 2
@@ -241,7 +241,7 @@
   for (const name of ['a', 'b', 'c']) cut.store.write(`use/account/${name}`, {})
   cut.start()
   await cut.waitFor(() => cut.fleet.isComplete, 'the first read')
-  assert.is(cut.unreadKeys, 1)
+  assert.is(cut.omittingReads, 1)
   assert.ok(cut.fleet.findTarget('1') !== undefined)
   await cut.stop()
 })
@@ -267,7 +267,7 @@
   await followed.waitFor(() => fleet.findTarget('3') !== undefined, 'target 3')
   store.remove('suspect/f')
   store.dropHistory()
-  await followed.waitFor(() => followed.lapsedSuspects.includes('f'), 'the removal of the record')
+  await followed.waitFor(() => followed.removedSuspects.includes('f'), 'the removal of the record')
 })
 
 test.run()
--- a/packages/almondrelay-gateway/src/process/fleet/__tests__/relayedChanges.test.ts
+++ b/packages/almondrelay-gateway/src/process/fleet/__tests__/relayedChanges.test.ts
@@ -29,11 +29,11 @@
   await startRelying()
   const { watches } = store
   followed.writeTarget('1', { sequence: 2 })
-  follower.hearRevision(store.latestRevision, fleet.notableRevision, 0)
+  follower.receivePeerRevision(store.latestRevision, fleet.notableRevision, 0)
   await waitForLooks()
   assert.is(store.watches, watches, 'the store is queried for a heartbeat')
   store.remove('target/1')
-  follower.hearRevision(store.latestRevision, store.latestRevision, 0)
+  follower.receivePeerRevision(store.latestRevision, store.latestRevision, 0)
   await waitForLooks()
   assert.is(store.watches, watches, 'the store is queried for a change that may still be relayed')
   followed.now += LONG_PAST_MS
@@ -41,7 +41,7 @@
   assert.is(store.watches, watches + 1)
   assert.is(fleet.notableRevision, store.latestRevision)
   const before = store.watches
-  follower.hearRevision(store.latestRevision, store.latestRevision + 1_000, 0)
+  follower.receivePeerRevision(store.latestRevision, store.latestRevision + 1_000, 0)
   followed.now += LONG_PAST_MS
   await new Promise((resolve) => { setTimeout(resolve, 700) })
   assert.ok(store.watches - before <= 2, `${store.watches - before} calls for a revision that never comes`)
@@ -57,10 +57,10 @@
   await startRelying()
   const { watches } = store
   const known = fleet.storeRevision
-  follower.acceptRelayed({ afterRevision: known, upToRevision: known + 5, events: [{ kind: 'deleted', key: 'target/1', revision: known + 2 }], forwardTo: [] })
+  follower.applyRelayedChanges({ afterRevision: known, upToRevision: known + 5, events: [{ kind: 'deleted', key: 'target/1', revision: known + 2 }], forwardTo: [] })
   assert.is(fleet.findTarget('1'), undefined)
   assert.is(fleet.storeRevision, known + 5)
-  follower.hearRevision(known + 9, known + 2, followed.now)
+  follower.receivePeerRevision(known + 9, known + 2, followed.now)
   followed.now += LONG_PAST_MS
   await waitForLooks()
   assert.is(store.watches, watches, 'the store is queried for a relayed change')
@@ -74,10 +74,10 @@
   const known = fleet.storeRevision
   store.remove('target/1')
   store.remove('target/2')
-  follower.acceptRelayed({ afterRevision: known + 1, upToRevision: known + 2, events: [{ kind: 'deleted', key: 'target/2', revision: known + 2 }], forwardTo: [] })
+  follower.applyRelayedChanges({ afterRevision: known + 1, upToRevision: known + 2, events: [{ kind: 'deleted', key: 'target/2', revision: known + 2 }], forwardTo: [] })
   assert.ok(fleet.findTarget('2') !== undefined)
   assert.is(fleet.storeRevision, known)
-  follower.hearRevision(known + 2, known + 2, followed.now)
+  follower.receivePeerRevision(known + 2, known + 2, followed.now)
   await waitForLooks()
   followed.now += LONG_PAST_MS
   await followed.waitFor(() => fleet.listTargetIds().length === 0, 'both changes')
@@ -96,7 +96,7 @@
   await waitForLooks()
   const value = Buffer.from(JSON.stringify(entry))
   const { storeRevision } = fleet
-  follower.acceptRelayed({ afterRevision: 0, upToRevision: storeRevision, events: [{ kind: 'written', item: { key: `target/${entry?.id ?? ''}`, value, revision: storeRevision - 1, createdRevision: 1 } }], forwardTo: [] })
+  follower.applyRelayedChanges({ afterRevision: 0, upToRevision: storeRevision, events: [{ kind: 'written', item: { key: `target/${entry?.id ?? ''}`, value, revision: storeRevision - 1, createdRevision: 1 } }], forwardTo: [] })
   assert.is(fleet.listTargetIds().length, 1)
 })
 
--- a/packages/almondrelay-gateway/src/process/fleet/fleetFollower.ts
+++ b/packages/almondrelay-gateway/src/process/fleet/fleetFollower.ts
@@ -9,7 +9,7 @@
 import type { WatchResult } from '../store/watchResult.js'
 import type { FleetCodec } from './fleetCodec.js'
 import type { FleetState } from './fleetState.js'
-import { readEverything } from './readEverything.js'
+import { readPrefix } from './readPrefix.js'
 import type { RelayedChanges } from './relayedChanges.js'
 import { FleetUpdater } from './fleetUpdater.js'
 
@@ -17,40 +17,40 @@
  * Timeout of a watch call of the hosts that watch the store for their region, in milliseconds. An empty answer confirms that no
  * change was missed, so this bounds the age of the region's state.
  */
-const WATCH_MS = 2_000
+const WATCH_TIMEOUT_MS = 2_000
 /** The same for a watcher that other hosts rely on: their state is at least as old as its own. */
-const RELIED_WATCH_MS = 1_000
+const RELIED_WATCH_TIMEOUT_MS = 1_000
 /** Milliseconds after which a host that relies on watchers queries the store itself, if no watcher has confirmed its state. */
-const LONGEST_UNASKED_MS = 5_000
+const MAX_UNCONFIRMED_MS = 5_000
 /**
  * Milliseconds within which a change must be relayed after a peer has reported its revision: reports of peers that have the change
  * already may overtake its datagram. After that the datagram counts as lost, and the store is queried.
  */
-const RELAY_GRACE_MS = 300
+const RELAY_TIMEOUT_MS = 300
 /**
  * Timeout of a watch call of hosts that are not watchers, in milliseconds. They too get changes at once, and learn from peers' reports
  * if their watch has stalled.
  */
-const LONG_WATCH_MS = 15_000
+const LONG_WATCH_TIMEOUT_MS = 15_000
 /**
  * Milliseconds for which peers may report newer revisions before the watch counts as stalled: covers the pause after changes and the
  * interval between peers' reports.
  */
-const BEHIND_MS = 1_000
+const STALLED_WATCH_TIMEOUT_MS = 1_000
 /**
  * Pause after changes, in milliseconds: entries change in groups, such as when targets start or during a release, and each
  * answer of a watch is a call that the platform counts.
  */
-const BATCH_MS = 500
+const BATCH_DELAY_MS = 500
 /** Milliseconds between checks for lapsed entries, for a change of watchers and for relayed changes that are overdue. */
-const CHECK_MS = 200
+const CHECK_INTERVAL_MS = 200
 /** Delay after a failed call, doubled up to the maximum, with jitter so that hosts don't reconnect all at once. */
-const PAUSE = { firstMs: 200, longestMs: 500 }
+const RETRY_DELAY = { firstMs: 200, longestMs: 500 }
 /**
  * The same for hosts of large regions that rely on watchers: they query the store themselves only because the watchers do not reach
  * it either, and rely on them again with the watchers' first report after the store has recovered.
  */
-const MANY_PAUSE = { firstMs: 1_000, longestMs: 8_000 }
+const RELYING_RETRY_DELAY = { firstMs: 1_000, longestMs: 8_000 }
 
 interface FollowerParts {
   store: RevisionStore
@@ -64,15 +64,15 @@
   /** Called after a new configuration has come into force. */
   handleConfiguration: () => void
   /** Called when this host's own entry was removed from the store while the host is running. */
-  handleOwnEntryGone: () => void
+  handleOwnEntryRemoved: () => void
   /** Called with a change of the resources that operators declare. */
-  handleDeclared: (revision: number, body: Buffer) => void
+  handleDeclaredChange: (revision: number, body: Buffer) => void
   /** Called with the record of a request that was running when targets exited. */
-  handleSuspect: (record: SuspectRecord, revision: number) => void
+  handleSuspectRecord: (record: SuspectRecord, revision: number) => void
   /** Called when such a record was removed or has expired. */
-  handleSuspectGone: (fingerprint: string) => void
+  handleSuspectRecordRemoved: (fingerprint: string) => void
   /** Called after a full read that did not reach the end of the product's own keys: there may be changes among those left out. */
-  handleUnreadKeys: () => void
+  handleOmittedKeys: () => void
   /** Whether this host is one of the watchers of its region, which watch the store with short timeouts. */
   isWatcher: () => boolean
   /** Whether the other hosts of the region rely on the watchers' watches. */
@@ -90,26 +90,26 @@
 export class FleetFollower {
   private readonly updater: FleetUpdater
   /** Aborts the pending watch call; undefined while none is pending. */
-  private interrupt: AbortController | undefined
-  private isWaitLong = false
+  private pendingWatch: AbortController | undefined
+  private isLongWatch = false
   private hasToCatchUp = false
-  private newestHeard = 0
-  private notableHeard = 0
+  private reportedRevision = 0
+  private reportedNotableRevision = 0
   /** No watch is pending: this host waits for changes relayed by the watchers. */
-  private isRelying = false
+  private isRelyingOnWatchers = false
   private behindSince: number | undefined
   /** Revision up to which the state is complete by relayed changes and watchers' reports. */
-  private handedOnRevision = 0
+  private relayedRevision = 0
   /** Since when a peer has reported a notable change that this host has not received. */
-  private wordSince: number | undefined
+  private missingChangeSince: number | undefined
 
   constructor (private readonly parts: FollowerParts) {
     this.updater = new FleetUpdater(parts)
   }
 
   async run (signal: AbortSignal): Promise<void> {
-    this.parts.health.handleReturn = () => { this.refresh('the store answers again') }
-    await Promise.all([...this.parts.codec.prefixes.map((prefix) => this.followPrefix(prefix, signal)), this.keepChecking(signal)])
+    this.parts.health.handleRecovery = () => { this.refresh('the store answers again') }
+    await Promise.all([...this.parts.codec.prefixes.map((prefix) => this.followPrefix(prefix, signal)), this.runChecks(signal)])
   }
 
   /**
@@ -119,15 +119,15 @@
    *
    * @param notableRevision revision of the last notable change that the peer knows
    */
-  hearRevision (revision: number, notableRevision: number, now: number): void {
-    this.newestHeard = Math.max(this.newestHeard, revision)
-    this.notableHeard = Math.max(this.notableHeard, notableRevision)
-    if (this.isRelying || this.parts.fleet.storeRevision >= this.newestHeard) {
+  receivePeerRevision (revision: number, notableRevision: number, now: number): void {
+    this.reportedRevision = Math.max(this.reportedRevision, revision)
+    this.reportedNotableRevision = Math.max(this.reportedNotableRevision, notableRevision)
+    if (this.isRelyingOnWatchers || this.parts.fleet.storeRevision >= this.reportedRevision) {
       this.behindSince = undefined
       return
     }
     this.behindSince ??= now
-    if (now - this.behindSince < BEHIND_MS) return
+    if (now - this.behindSince < STALLED_WATCH_TIMEOUT_MS) return
     this.behindSince = now
     this.refresh('a peer reports newer changes')
   }
@@ -138,11 +138,11 @@
    *
    * @param ageMs milliseconds since the store confirmed the watcher's state
    */
-  hearWatcher (revision: number, notableRevision: number, ageMs: number, now: number): void {
+  receiveWatcherState (revision: number, notableRevision: number, ageMs: number, now: number): void {
     const { fleet } = this.parts
-    if (!this.isRelying || fleet.storeRevision < notableRevision) return
+    if (!this.isRelyingOnWatchers || fleet.storeRevision < notableRevision) return
     fleet.storeRevision = Math.max(fleet.storeRevision, revision)
-    this.handedOnRevision = fleet.storeRevision
+    this.relayedRevision = fleet.storeRevision
     fleet.confirmedAt = Math.max(fleet.confirmedAt ?? -Infinity, now - ageMs)
   }
 
@@ -151,22 +151,22 @@
    * answer may be older and would undo them. They are also ignored if `afterRevision` shows that earlier changes were lost:
    * the reported revision then stays ahead of the state, and the store is queried for all of them.
    */
-  acceptRelayed ({ afterRevision, upToRevision, events }: RelayedChanges): void {
+  applyRelayedChanges ({ afterRevision, upToRevision, events }: RelayedChanges): void {
     const { fleet } = this.parts
-    if (!this.isRelying || afterRevision > fleet.storeRevision || upToRevision <= fleet.storeRevision) return
-    const known = fleet.storeRevision
-    this.updater.applyEvents(events.filter((event) => getEventRevision(event) > known))
+    if (!this.isRelyingOnWatchers || afterRevision > fleet.storeRevision || upToRevision <= fleet.storeRevision) return
+    const knownRevision = fleet.storeRevision
+    this.updater.applyEvents(events.filter((event) => getEventRevision(event) > knownRevision))
     fleet.storeRevision = upToRevision
-    this.handedOnRevision = upToRevision
+    this.relayedRevision = upToRevision
   }
 
   /** Restarts the watch on another connection and requests at once the changes that were missed. */
   refresh (reason: string): void {
-    if (this.interrupt === undefined && !this.isRelying) return
+    if (this.pendingWatch === undefined && !this.isRelyingOnWatchers) return
     this.hasToCatchUp = true
-    if (this.interrupt === undefined) return
+    if (this.pendingWatch === undefined) return
     this.parts.log.record('store watch restarted', { reason, revision: this.parts.fleet.storeRevision })
-    this.interrupt.abort()
+    this.pendingWatch.abort()
   }
 
   private async followPrefix (prefix: string, signal: AbortSignal): Promise<void> {
@@ -189,19 +189,19 @@
   private async waitAfterFailure (failures: number, signal: AbortSignal): Promise<void> {
     const { fleet, getNow, random, isReliedOn, isWatcher, hasReliableWatchers } = this.parts
     if (!fleet.isComplete || !isReliedOn() || isWatcher()) {
-      await sleepFor(computeRetryDelay(PAUSE, failures, random()), signal)
+      await sleepFor(computeRetryDelay(RETRY_DELAY, failures, random()), signal)
       return
     }
-    const end = getNow() + computeRetryDelay(MANY_PAUSE, failures, random())
-    await sleepFor(PAUSE.longestMs, signal)
-    while (!signal.aborted && !hasReliableWatchers() && getNow() < end) await sleepFor(CHECK_MS, signal)
+    const retryAt = getNow() + computeRetryDelay(RELYING_RETRY_DELAY, failures, random())
+    await sleepFor(RETRY_DELAY.longestMs, signal)
+    while (!signal.aborted && !hasReliableWatchers() && getNow() < retryAt) await sleepFor(CHECK_INTERVAL_MS, signal)
   }
 
   /** Reads all keys under a prefix and removes whatever is missing from them. Returns the revision from which to watch. */
   private async readAll (prefix: string, signal: AbortSignal): Promise<number> {
     const { fleet, log } = this.parts
-    const read = await readEverything(this.parts.store, this.parts.codec, prefix, signal)
-    const { keys, isLapse } = this.updater.applyRead(prefix, read.items.map((item) => ({ kind: 'written', item })))
+    const read = await readPrefix(this.parts.store, this.parts.codec, prefix, signal)
+    const { keys, isLapse } = this.updater.applyFullRead(prefix, read.items.map((item) => ({ kind: 'written', item })))
     this.updater.applyEvents(read.events)
     fleet.isComplete = true
     fleet.storeRevision = Math.max(fleet.storeRevision, read.revision)
@@ -209,19 +209,19 @@
     fleet.notableRevision = Math.max(fleet.notableRevision, read.revision)
     log.record('full read of the store applied', { prefix, revision: read.revision, keys, isLapse })
     // Account pages alone do not load the operator service: a restarting host has no time for it.
-    if (read.isCutOff) this.parts.handleUnreadKeys()
+    if (read.hasOmittedKeys) this.parts.handleOmittedKeys()
     return read.revision
   }
 
   private async watchOnce (prefix: string, revision: number, signal: AbortSignal): Promise<number | undefined> {
     const { fleet, log } = this.parts
-    const isOnWord = this.parts.hasReliableWatchers()
-    if (isOnWord) await this.waitForWord(signal)
-    const known = Math.max(revision, this.handedOnRevision)
-    const result = await this.waitForChanges(prefix, known, signal)
-    if (result === undefined) return known
+    const reliesOnWatchers = this.parts.hasReliableWatchers()
+    if (reliesOnWatchers) await this.waitForRelayedChanges(signal)
+    const knownRevision = Math.max(revision, this.relayedRevision)
+    const result = await this.waitForChanges(prefix, knownRevision, signal)
+    if (result === undefined) return knownRevision
     if (result.kind === 'history-gone') {
-      log.report('history of the store no longer available, reading all keys again', { prefix, revision: known })
+      log.report('history of the store no longer available, reading all keys again', { prefix, revision: knownRevision })
       return undefined
     }
     const notableBefore = fleet.notableRevision
@@ -229,7 +229,7 @@
     fleet.storeRevision = Math.max(fleet.storeRevision, result.revision)
     if (notable.length > 0 && this.parts.isReliedOn() && this.parts.isWatcher()) this.parts.relay({ afterRevision: notableBefore, upToRevision: result.revision, events: notable, forwardTo: [] })
     // A host that relies on watchers always pauses: otherwise a false report of a future revision would make it query in a tight loop.
-    if (result.events.length > 0 || isOnWord) await sleepFor(BATCH_MS, signal)
+    if (result.events.length > 0 || reliesOnWatchers) await sleepFor(BATCH_DELAY_MS, signal)
     return result.revision
   }
 
@@ -239,58 +239,58 @@
    *
    * If every host watched or queried the store, each change would be a call of every host, and the platform counts calls.
    */
-  private async waitForWord (signal: AbortSignal): Promise<void> {
+  private async waitForRelayedChanges (signal: AbortSignal): Promise<void> {
     const { fleet, getNow, hasReliableWatchers } = this.parts
     const startedAt = getNow()
-    const isConfirmed = (): boolean => getNow() - Math.max(startedAt, fleet.confirmedAt ?? -Infinity) < LONGEST_UNASKED_MS
-    this.isRelying = true
-    while (!signal.aborted && !this.hasToCatchUp && !this.isChangeOverdue(getNow()) && hasReliableWatchers() && isConfirmed()) await sleepFor(CHECK_MS, signal)
-    this.isRelying = false
+    const isConfirmed = (): boolean => getNow() - Math.max(startedAt, fleet.confirmedAt ?? -Infinity) < MAX_UNCONFIRMED_MS
+    this.isRelyingOnWatchers = true
+    while (!signal.aborted && !this.hasToCatchUp && !this.isChangeOverdue(getNow()) && hasReliableWatchers() && isConfirmed()) await sleepFor(CHECK_INTERVAL_MS, signal)
+    this.isRelyingOnWatchers = false
     this.hasToCatchUp = true
   }
 
   /** Whether a notable change has been reported for too long without being received. */
   private isChangeOverdue (now: number): boolean {
-    if (this.notableHeard <= this.parts.fleet.storeRevision) {
-      this.wordSince = undefined
+    if (this.reportedNotableRevision <= this.parts.fleet.storeRevision) {
+      this.missingChangeSince = undefined
       return false
     }
-    this.wordSince ??= now
-    return now - this.wordSince >= RELAY_GRACE_MS
+    this.missingChangeSince ??= now
+    return now - this.missingChangeSince >= RELAY_TIMEOUT_MS
   }
 
   /** Returns undefined if the watch was interrupted by a refresh. */
   private async waitForChanges (prefix: string, revision: number, signal: AbortSignal): Promise<WatchResult | undefined> {
-    const interrupt = new AbortController()
-    const handleAbort = (): void => { interrupt.abort() }
+    const watchController = new AbortController()
+    const handleAbort = (): void => { watchController.abort() }
     signal.addEventListener('abort', handleAbort)
-    this.interrupt = interrupt
-    this.isWaitLong = !this.hasToCatchUp && !this.parts.isWatcher()
-    const waitMs = this.chooseWaitMs()
+    this.pendingWatch = watchController
+    this.isLongWatch = !this.hasToCatchUp && !this.parts.isWatcher()
+    const waitMs = this.chooseWatchTimeout()
     this.hasToCatchUp = false
     try {
-      return await this.parts.store.watch(prefix, revision, waitMs, interrupt.signal)
+      return await this.parts.store.watch(prefix, revision, waitMs, watchController.signal)
     } catch (error) {
-      if (interrupt.signal.aborted && !signal.aborted) return undefined
+      if (watchController.signal.aborted && !signal.aborted) return undefined
       throw error
     } finally {
       signal.removeEventListener('abort', handleAbort)
-      this.interrupt = undefined
-      this.isWaitLong = false
+      this.pendingWatch = undefined
+      this.isLongWatch = false
     }
   }
 
-  private chooseWaitMs (): number {
+  private chooseWatchTimeout (): number {
     if (this.hasToCatchUp) return CATCH_UP_MS
-    if (this.isWaitLong) return LONG_WATCH_MS
-    return this.parts.isReliedOn() ? RELIED_WATCH_MS : WATCH_MS
+    if (this.isLongWatch) return LONG_WATCH_TIMEOUT_MS
+    return this.parts.isReliedOn() ? RELIED_WATCH_TIMEOUT_MS : WATCH_TIMEOUT_MS
   }
 
-  private async keepChecking (signal: AbortSignal): Promise<void> {
+  private async runChecks (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await sleepFor(CHECK_MS, signal)
+      await sleepFor(CHECK_INTERVAL_MS, signal)
       this.updater.expireLapsed()
-      if (this.isWaitLong && this.parts.isWatcher()) this.refresh('this host is now a watcher of its region')
+      if (this.isLongWatch && this.parts.isWatcher()) this.refresh('this host is now a watcher of its region')
     }
   }
 }
--- a/packages/almondrelay-gateway/src/process/fleet/fleetState.ts
+++ b/packages/almondrelay-gateway/src/process/fleet/fleetState.ts
@@ -35,7 +35,7 @@
    * Monotonic milliseconds at which the store last confirmed to a peer that there is nothing newer than this state. A host
    * with a long watch timeout gets no answer from the store while nothing changes, although its state is up to date.
    */
-  private vouchedAt = -Infinity
+  private peerConfirmedAt = -Infinity
   /** Revision of the store up to which this state includes all changes. */
   storeRevision = 0
   /** Revision of the last notable change: one after which hosts decide differently than before. */
@@ -43,16 +43,16 @@
   /** The first full read of targets and hosts is done. */
   isComplete = false
 
-  private readonly starting: Array<() => void> = []
+  private readonly configurationWaiters: Array<() => void> = []
 
   constructor (private readonly listener: FleetListener) {}
 
   /** Resolves once there is a configuration, at once if there is one already, or after the timeout without one. */
-  async waitForConfiguration (mostMs: number): Promise<void> {
-    if (this.configuration !== undefined || mostMs <= 0) return
+  async waitForConfiguration (timeoutMs: number): Promise<void> {
+    if (this.configuration !== undefined || timeoutMs <= 0) return
     await new Promise<void>((resolve) => {
-      const timer = setTimeout(resolve, mostMs)
-      this.starting.push(() => { clearTimeout(timer); resolve() })
+      const timer = setTimeout(resolve, timeoutMs)
+      this.configurationWaiters.push(() => { clearTimeout(timer); resolve() })
     })
   }
 
@@ -62,7 +62,7 @@
     this.configuration = configuration
     this.routes = new RouteTable(configuration.routes)
     this.organisations = new OrganisationTable(configuration.organisations)
-    for (const resume of this.starting.splice(0)) resume()
+    for (const resume of this.configurationWaiters.splice(0)) resume()
     return true
   }
 
@@ -72,13 +72,13 @@
    * @param notableRevision revision of the last notable change that the peer knows
    * @param confirmedAt when the store confirmed the peer's state
    */
-  hearConfirmation (notableRevision: number, confirmedAt: number): void {
-    if (this.storeRevision >= notableRevision) this.vouchedAt = Math.max(this.vouchedAt, confirmedAt)
+  receivePeerConfirmation (notableRevision: number, confirmedAt: number): void {
+    if (this.storeRevision >= notableRevision) this.peerConfirmedAt = Math.max(this.peerConfirmedAt, confirmedAt)
   }
 
   /** Returns the milliseconds since this state was last confirmed to be current, by the store or through a peer. */
   computeAge (now: number): number {
-    return now - Math.max(this.confirmedAt ?? -Infinity, this.vouchedAt)
+    return now - Math.max(this.confirmedAt ?? -Infinity, this.peerConfirmedAt)
   }
 
   findService (name: string): ServiceDefinition | undefined {
@@ -91,7 +91,7 @@
       this.updateTarget(known, entry, now)
       return
     }
-    if (known !== undefined) this.finishLife(known, now)
+    if (known !== undefined) this.removeRestarted(known, now)
     if (this.isKnownService(entry.service)) this.clearAddress(entry, now)
     const target = new TargetState(entry, now)
     this.targets.set(entry.id, target)
@@ -125,7 +125,7 @@
   removeTarget (id: string, now: number): TargetState | undefined {
     const target = this.targets.get(id)
     if (target === undefined) return undefined
-    this.removeFromLists(target, now)
+    this.removeFromIndexes(target, now)
     this.listener.targetRemoved(target)
     return target
   }
@@ -135,12 +135,12 @@
     if (this.targets.get(target.entry.id) === target) this.removeTarget(target.entry.id, now)
   }
 
-  private finishLife (target: TargetState, now: number): void {
-    this.removeFromLists(target, now)
+  private removeRestarted (target: TargetState, now: number): void {
+    this.removeFromIndexes(target, now)
     this.listener.targetRestarted(target)
   }
 
-  private removeFromLists (target: TargetState, now: number): void {
+  private removeFromIndexes (target: TargetState, now: number): void {
     const { id, service } = target.entry
     target.markDeparted(now)
     this.targets.delete(id)
--- a/packages/almondrelay-gateway/src/process/fleet/fleetUpdater.ts
+++ b/packages/almondrelay-gateway/src/process/fleet/fleetUpdater.ts
@@ -22,13 +22,13 @@
   /** Called after a new configuration has come into force. */
   handleConfiguration: () => void
   /** Called when this host's own entry was removed from the store while the host is running. */
-  handleOwnEntryGone: () => void
+  handleOwnEntryRemoved: () => void
   /** Called with a change of the resources that operators declare. */
-  handleDeclared: (revision: number, body: Buffer) => void
+  handleDeclaredChange: (revision: number, body: Buffer) => void
   /** Called with the record of a request that was running when targets exited. */
-  handleSuspect: (record: SuspectRecord, revision: number) => void
+  handleSuspectRecord: (record: SuspectRecord, revision: number) => void
   /** Called when such a record was removed or has expired. */
-  handleSuspectGone: (fingerprint: string) => void
+  handleSuspectRecordRemoved: (fingerprint: string) => void
 }
 
 interface DecodedChange {
@@ -51,17 +51,17 @@
   private readonly createdRevisions = new Map<string, number>()
   /** Fingerprints of the requests that have a suspect record. */
   private readonly suspects = new Set<string>()
-  private readonly latest = new LatestEntries()
-  private readonly unusable = new RepeatFilter()
+  private readonly latestEntries = new LatestEntries()
+  private readonly unusableValues = new RepeatFilter()
 
   constructor (private readonly parts: UpdaterParts) {}
 
   /** Applies a full read of a prefix: whatever is known under the prefix and is missing from the read is removed. */
-  applyRead (prefix: string, events: readonly StoreEvent[]): { keys: number, isLapse: boolean } {
+  applyFullRead (prefix: string, events: readonly StoreEvent[]): { keys: number, isLapse: boolean } {
     const known = new Map(this.createdRevisions)
     const present = new Set<string>()
     for (const decoded of events.flatMap((event) => this.decodeEvent(event))) {
-      this.applyDecoded(decoded, false)
+      this.tryApplyChange(decoded, false)
       present.add(describeSubject(decoded.change))
     }
     const isLapse = isLapseLikely({ known, present: new Map([...this.createdRevisions].filter(([id]) => present.has(`target ${id}`))) })
@@ -73,7 +73,7 @@
   applyEvents (events: readonly StoreEvent[]): StoreEvent[] {
     const changes = events.flatMap((event) => this.decodeEvent(event))
     const isLapse = isLapseLikely({ known: this.createdRevisions, present: this.listPresentAfter(changes) })
-    return changes.filter((change) => this.applyDecoded(change, isLapse)).map(({ event }) => event)
+    return changes.filter((change) => this.tryApplyChange(change, isLapse)).map(({ event }) => event)
   }
 
   /** Removes the targets whose lapsed entries were not written again in time. */
@@ -104,21 +104,21 @@
 
   private removeAbsent (prefix: string, present: ReadonlySet<string>, isLapse: boolean): void {
     const { codec, fleet } = this.parts
-    const gone: FleetChange[] = [
+    const removals: FleetChange[] = [
       ...fleet.listTargetIds().map((id): FleetChange => ({ kind: 'target-gone', id })),
       ...fleet.listHosts().map(({ name }): FleetChange => ({ kind: 'host-gone', name })),
       ...[...this.suspects].map((fingerprint): FleetChange => ({ kind: 'suspect-gone', fingerprint })),
       ...fleet.listEvacuated().map((availabilityZone): FleetChange => ({ kind: 'evacuation', availabilityZone, isEvacuated: false }))
     ]
-    for (const change of gone) {
+    for (const change of removals) {
       if (codec.isUnder(prefix, change) && !present.has(describeSubject(change))) this.apply(change, isLapse)
     }
   }
 
   // Otherwise one change that can't be applied would block all later ones, on every host and again after each restart.
-  private applyDecoded (change: DecodedChange, isLapse: boolean): boolean {
+  private tryApplyChange (change: DecodedChange, isLapse: boolean): boolean {
     try {
-      return this.applyOne(change, isLapse)
+      return this.applyChange(change, isLapse)
     } catch (error) {
       this.parts.log.logError(`change of the store not applied: ${describeSubject(change.change)}`, error as Error)
       return false
@@ -126,7 +126,7 @@
   }
 
   /** Returns whether the change is notable. */
-  private applyOne ({ change, revision, createdRevision }: DecodedChange, isLapse: boolean): boolean {
+  private applyChange ({ change, revision, createdRevision }: DecodedChange, isLapse: boolean): boolean {
     const { fleet, getNow } = this.parts
     const isNotable = isNotableChange(change, fleet, getNow())
     if (isNotable) fleet.notableRevision = Math.max(fleet.notableRevision, revision)
@@ -164,17 +164,17 @@
       })
       .with({ kind: 'host-gone' }, ({ name }) => {
         log.record('peer removed', { peer: name })
-        if (name === this.parts.ownName) this.parts.handleOwnEntryGone()
+        if (name === this.parts.ownName) this.parts.handleOwnEntryRemoved()
         else fleet.removeHost(name)
       })
-      .with({ kind: 'declared' }, ({ revision, body }) => { this.parts.handleDeclared(revision, body) })
+      .with({ kind: 'declared' }, ({ revision, body }) => { this.parts.handleDeclaredChange(revision, body) })
       .with({ kind: 'suspect' }, ({ record, revision }) => {
         this.suspects.add(record.fingerprint)
-        this.parts.handleSuspect(record, revision)
+        this.parts.handleSuspectRecord(record, revision)
       })
       .with({ kind: 'suspect-gone' }, ({ fingerprint }) => {
         this.suspects.delete(fingerprint)
-        this.parts.handleSuspectGone(fingerprint)
+        this.parts.handleSuspectRecordRemoved(fingerprint)
       })
       .with({ kind: 'invalid' }, ({ key, reason }) => { this.reportUnusable(key, reason) })
       .exhaustive()
@@ -183,7 +183,7 @@
   private applyTarget (entry: TargetEntry, now: number): void {
     const { fleet, log } = this.parts
     const known = fleet.findTarget(entry.id)
-    if (!this.latest.accept(entry)) {
+    if (!this.latestEntries.accept(entry)) {
       log.record('outdated target entry ignored', { entry })
       // If targets state no start time, a lower heartbeat count may also mean a restart. A target that states that it is cold is then
       // marked as cold, as it would collapse at the request rate of a warm one.
@@ -199,7 +199,7 @@
   }
 
   private reportUnusable (key: string, reason: string): void {
-    if (this.unusable.accept(key, reason)) this.parts.log.report('value in the store not usable', { key, reason })
+    if (this.unusableValues.accept(key, reason)) this.parts.log.report('value in the store not usable', { key, reason })
   }
 
   private applyTargetGone (id: string, isLapse: boolean, now: number): void {
@@ -207,7 +207,7 @@
     const target = fleet.findTarget(id)
     if (target === undefined) return
     if (isLapse && !target.isLeaving()) {
-      const end = Math.min(health.findLapseEnd(now), this.lapsing.get(id) ?? Infinity)
+      const end = Math.min(health.computeLapseEnd(now), this.lapsing.get(id) ?? Infinity)
       this.lapsing.set(id, end)
       log.record('target entry expired while the store was unavailable', { target: id, untilMs: Math.round(end - now) })
       return
--- a/packages/almondrelay-gateway/src/process/fleet/isNotableChange.ts
+++ b/packages/almondrelay-gateway/src/process/fleet/isNotableChange.ts
@@ -28,6 +28,6 @@
   if (known === undefined) return true
   const { incarnation, draining, ip, port, slots, coldForMs } = known.entry
   const isSame = incarnation === entry.incarnation && draining === entry.draining && ip === entry.ip && port === entry.port && slots === entry.slots
-  const isColdAnew = entry.coldForMs > 0 && (coldForMs === 0 || entry.coldForMs > coldForMs || !known.isCold(now))
-  return !isSame || isColdAnew
+  const isNewlyCold = entry.coldForMs > 0 && (coldForMs === 0 || entry.coldForMs > coldForMs || !known.isCold(now))
+  return !isSame || isNewlyCold
 }
--- a/packages/almondrelay-gateway/src/process/fleet/latestEntries.ts
+++ b/packages/almondrelay-gateway/src/process/fleet/latestEntries.ts
@@ -3,7 +3,7 @@
 import type { TargetEntry } from '../../request/targetEntry.js'
 
 /** Maximum number of targets whose last entry is kept, removed targets included; the least recently updated one is dropped first. */
-const MOST_REMEMBERED = 10_000
+const MAX_TARGETS = 10_000
 
 /** The newest entry of each target, kept after its key was removed too: a delayed write may bring an older entry back. */
 export class LatestEntries {
@@ -13,7 +13,7 @@
   accept ({ id, incarnation, sequence }: TargetEntry): boolean {
     const known = this.entries.get(id)
     if (known !== undefined && isOlderEntry({ incarnation, sequence }, known)) return false
-    putBounded(this.entries, id, { incarnation, sequence }, MOST_REMEMBERED)
+    putBounded(this.entries, id, { incarnation, sequence }, MAX_TARGETS)
     return true
   }
 }
--- a/packages/almondrelay-gateway/src/process/fleet/readEverything.ts
+++ b/packages/almondrelay-gateway/src/process/fleet/readPrefix.ts
@@ -12,7 +12,7 @@
   /** Revision up to which the items and the events together are complete. */
   revision: number
   /** The product's own keys were not read to their end. */
-  isCutOff: boolean
+  hasOmittedKeys: boolean
 }
 
 /**
@@ -23,7 +23,7 @@
  * pages; when a whole fleet restarts, each host reads hundreds of keys. If the store no longer holds the changes since,
  * current pages are read instead.
  */
-export async function readEverything (store: RevisionStore, codec: FleetCodec, prefix: string, signal: AbortSignal): Promise<FullRead> {
+export async function readPrefix (store: RevisionStore, codec: FleetCodec, prefix: string, signal: AbortSignal): Promise<FullRead> {
   const read = await readPages(store, codec, prefix, PageAge.stale, signal)
   const changes = await store.watch(prefix, read.revision, CATCH_UP_MS, signal)
   if (changes.kind === 'history-gone') return await readPages(store, codec, prefix, PageAge.current, signal)
@@ -38,8 +38,8 @@
     // Stale pages may be from different times, in any order: the changes are requested from the oldest revision on.
     revision = Math.min(revision, page.revision)
     items.push(...page.items)
-    const isCutOff = page.isTruncated && items.at(-1)?.key.startsWith(codec.productPrefix) === true
-    if (!page.isTruncated || isCutOff) return { items, events: [], revision, isCutOff }
+    const hasOmittedKeys = page.isTruncated && items.at(-1)?.key.startsWith(codec.productPrefix) === true
+    if (!page.isTruncated || hasOmittedKeys) return { items, events: [], revision, hasOmittedKeys: hasOmittedKeys }
     // Listing after the same key again would return the same page for ever.
     if (page.items.length === 0) throw new Error('listing of the store is truncated at a page without readable items')
   }
--- a/packages/almondrelay-gateway/src/process/fleet/repeatFilter.ts
+++ b/packages/almondrelay-gateway/src/process/fleet/repeatFilter.ts
@@ -1,7 +1,7 @@
 import { putBounded } from '../../request/putBounded.js'
 
 /** Maximum number of keys whose last message is kept: more than operators read. Messages about dropped keys are logged again. */
-const MOST_REMEMBERED = 256
+const MAX_KEYS = 256
 
 /**
  * Suppresses repeated messages about a key.
@@ -13,9 +13,9 @@
   private readonly last = new Map<string, string>()
 
   /** Whether the message differs from the last one about the key. */
-  accept (key: string, word: string): boolean {
-    if (this.last.get(key) === word) return false
-    putBounded(this.last, key, word, MOST_REMEMBERED)
+  accept (key: string, message: string): boolean {
+    if (this.last.get(key) === message) return false
+    putBounded(this.last, key, message, MAX_KEYS)
     return true
   }
 }
--- a/packages/almondrelay-gateway/src/process/forward/forwardState.ts
+++ b/packages/almondrelay-gateway/src/process/forward/forwardState.ts
@@ -1,4 +1,4 @@
-import type { BodyMemory } from '../../connection/bodyMemory.js'
+import type { AnswerMemory } from '../../connection/answerMemory.js'
 import type { ConnectFailure } from '../../connection/connectFailure.js'
 import type { TargetCodec } from '../../connection/targetCodec.js'
 import { ColdAllowance } from '../../request/coldAllowance.js'
@@ -18,7 +18,7 @@
   fleet: FleetState
   peers: PeerView
   codec: TargetCodec
-  memory: BodyMemory
+  memory: AnswerMemory
   getNow: () => number
   countOpened: (region: string) => void
   /** @param isUnconnected whether this host has no other open connection to the target */
--- a/packages/almondrelay-gateway/src/process/forward/requestHandler.ts
+++ b/packages/almondrelay-gateway/src/process/forward/requestHandler.ts
@@ -1,5 +1,5 @@
 import type { IncomingMessage } from 'node:http'
-import type { BodyMemory } from '../../connection/bodyMemory.js'
+import type { AnswerMemory } from '../../connection/answerMemory.js'
 import type { CallerAnswer } from '../../connection/callerAnswer.js'
 import type { CallerCodec } from '../../connection/callerCodec.js'
 import type { CallerHead } from '../../connection/callerHead.js'
@@ -43,7 +43,7 @@
   targetCodec: TargetCodec
   forward: ForwardState
   load: HostLoad
-  memory: BodyMemory
+  memory: AnswerMemory
   allowances: Allowances
   quarantine: Quarantine
   log: EventLog
@@ -113,7 +113,7 @@
     const organisation = findOrganisation(identity)
     const allowedRegions = findCommonRegions(route.allowedRegions, organisation?.allowedRegions ?? [])
     if (allowedRegions === undefined) return this.refuser.refuseNoCommonRegion(head, route, organisation?.name)
-    const deadline = arrivedAt + Math.min(route.timeoutMs, head.waitsMs ?? route.timeoutMs)
+    const deadline = arrivedAt + Math.min(route.timeoutMs, head.callerTimeoutMs ?? route.timeoutMs)
     const patience = organisations.computeRelativePriority(organisation, routes.computeRelativePriority(route))
     if (deadline <= getNow() || !load.allow(patience, random())) return this.refuser.refuseOverloaded(head, route, organisation?.name)
     if (memory.isFilling) return this.refuser.refuseMemoryFull(head, route, organisation?.name)
--- a/packages/almondrelay-gateway/src/process/forward/requestRefuser.ts
+++ b/packages/almondrelay-gateway/src/process/forward/requestRefuser.ts
@@ -1,6 +1,6 @@
 import type { IncomingMessage } from 'node:http'
 import { RefusalReason } from 'almondrelay'
-import type { BodyMemory } from '../../connection/bodyMemory.js'
+import type { AnswerMemory } from '../../connection/answerMemory.js'
 import type { CallerAnswer } from '../../connection/callerAnswer.js'
 import type { CallerCodec } from '../../connection/callerCodec.js'
 import type { CallerHead } from '../../connection/callerHead.js'
@@ -29,7 +29,7 @@
   callerCodec: CallerCodec
   fleet: FleetState
   load: HostLoad
-  memory: BodyMemory
+  memory: AnswerMemory
   log: EventLog
   account: AccountKeeper
   metrics: GatewayMetrics
--- a/packages/almondrelay-gateway/src/process/gateway.ts
+++ b/packages/almondrelay-gateway/src/process/gateway.ts
@@ -2,7 +2,7 @@
 import { createServer } from 'node:http'
 import { openServer, sleepFor, splitAddress, SystemClock } from 'almondrelay'
 import type Logger from 'bunyan'
-import { BodyMemory } from '../connection/bodyMemory.js'
+import { AnswerMemory } from '../connection/answerMemory.js'
 import { CallerServer } from '../connection/callerServer.js'
 import { ConnectFailure } from '../connection/connectFailure.js'
 import { listenForGet } from '../connection/listenForGet.js'
@@ -90,7 +90,7 @@
   private readonly account: AccountKeeper
   private readonly desk: OperatorDesk
   private readonly load = new HostLoad()
-  private readonly memory = new BodyMemory(MOST_ANSWER_BYTES)
+  private readonly memory = new AnswerMemory(MOST_ANSWER_BYTES)
   private readonly turns: TurnQueue
   private readonly owner = new AbortController()
   private isLeaving = false
@@ -115,7 +115,7 @@
     this.planner = new RegionPlanner({ ownRegion: this.own.region, regions, forward: this.forward, view: this.view, getNow })
     const logError = (error: Error): void => { log.logError('error on a port of this host', error) }
     this.socket = new PeerSocket(logError)
-    this.exchange = new PeerExchange({ own: this.own, fleet: this.fleet, forward: this.forward, view: this.view, socket: this.socket, getNow, isLeaving, getDeclaredRevision: () => this.desk.revision, receiveRevision: (revision, notableRevision, now) => { this.follower.hearRevision(revision, notableRevision, now) }, acceptRelayedChanges: (changes) => { this.follower.acceptRelayed(changes) }, receiveWatcherReport: (report, now) => { this.follower.hearWatcher(report.storeRevision, report.notableRevision, report.storeAgeMs, now) } })
+    this.exchange = new PeerExchange({ own: this.own, fleet: this.fleet, forward: this.forward, view: this.view, socket: this.socket, getNow, isLeaving, getDeclaredRevision: () => this.desk.revision, receiveRevision: (revision, notableRevision, now) => { this.follower.receivePeerRevision(revision, notableRevision, now) }, acceptRelayedChanges: (changes) => { this.follower.applyRelayedChanges(changes) }, receiveWatcherReport: (report, now) => { this.follower.receiveWatcherState(report.storeRevision, report.notableRevision, report.storeAgeMs, now) } })
     this.allowances = new Allowances({ availabilityZone: this.own.availabilityZone, windowMs: settings.bounds.allowanceWindow, startedAt: getNow(), countHosts: () => this.view.countPossibleHosts(getNow()), isAggregator: (now) => this.view.isAggregator(now) })
     this.useExchange = new UsageExchange({ own: this.own, view: this.view, allowances: this.allowances, socket: this.socket, getNow, sleep: sleepFor })
     const { quarantine, exchange: suspectExchange } = createQuarantine({ own: this.own, view: this.view, socket: this.socket, store: adapter.store, codec: adapter.fleet, log, metrics, getNow, random }, this.owner.signal)
@@ -147,11 +147,11 @@
       isReliedOn: () => this.view.isLargeRegion(),
       hasReliableWatchers: () => this.view.hasReliableWatchers(this.parts.settings.bounds.leavingInForce, getNow()),
       relay: (changes) => { if (this.view.isRelay(getNow())) this.exchange.relay(changes) },
-      handleOwnEntryGone: () => { this.announcer.renewEntry() },
-      handleDeclared: (revision, body) => { this.desk.acceptChange(revision, body) },
-      handleSuspect: (record, revision) => { this.quarantine.adoptRecord(record, revision, getNow()) },
-      handleSuspectGone: (fingerprint) => { this.quarantine.dropRecord(fingerprint) },
-      handleUnreadKeys: () => { this.desk.refresh() },
+      handleOwnEntryRemoved: () => { this.announcer.restoreEntry() },
+      handleDeclaredChange: (revision, body) => { this.desk.acceptChange(revision, body) },
+      handleSuspectRecord: (record, revision) => { this.quarantine.adoptRecord(record, revision, getNow()) },
+      handleSuspectRecordRemoved: (fingerprint) => { this.quarantine.dropRecord(fingerprint) },
+      handleOmittedKeys: () => { this.desk.refresh() },
       handleConfiguration: () => {
         const { configuration } = this.fleet
         if (configuration === undefined) return
--- a/packages/almondrelay-gateway/src/process/peers/peerExchange.ts
+++ b/packages/almondrelay-gateway/src/process/peers/peerExchange.ts
@@ -90,7 +90,7 @@
     const previousCounts = view.findInFlightCounts(report.host)
     if (!view.receiveReport(report, now)) return
     receiveRevision(report.storeRevision, report.notableRevision, now)
-    fleet.hearConfirmation(report.notableRevision, now - report.storeAgeMs)
+    fleet.receivePeerConfirmation(report.notableRevision, now - report.storeAgeMs)
     if (report.region !== own.region) return
     this.updateInFlightCounts(report, previousCounts, now)
     if (isWatcher && report.changes === undefined) this.parts.receiveWatcherReport(report, now)
--- a/packages/almondrelay-gateway/src/process/store/storeHealth.ts
+++ b/packages/almondrelay-gateway/src/process/store/storeHealth.ts
@@ -1,19 +1,19 @@
 /** Milliseconds after the store's recovery within which entries that expired during the outage may be written again. */
-const RETURN_MS = 2_000
+const LAPSE_GRACE_MS = 2_000
 
 /** Tracks outages of the store, by the results of calls to it. Times are monotonic milliseconds. */
 export class StoreHealth {
   /** Called at the first answer after a failure. */
-  handleReturn: () => void = () => undefined
+  handleRecovery: () => void = () => undefined
   private failingSince: number | undefined
-  private returnedAt = -Infinity
+  private recoveredAt = -Infinity
 
   /** Records an answer of the store; returns whether it is the first after a failure. */
   observeAnswer (now: number): boolean {
     if (this.failingSince === undefined) return false
     this.failingSince = undefined
-    this.returnedAt = now
-    this.handleReturn()
+    this.recoveredAt = now
+    this.handleRecovery()
     return true
   }
 
@@ -25,8 +25,8 @@
   }
 
   /** Returns the time until which an entry that expired during an outage may be written again. */
-  findLapseEnd (now: number): number {
-    const hasReturned = this.failingSince === undefined && now - this.returnedAt < RETURN_MS
-    return (hasReturned ? this.returnedAt : now) + RETURN_MS
+  computeLapseEnd (now: number): number {
+    const hasRecovered = this.failingSince === undefined && now - this.recoveredAt < LAPSE_GRACE_MS
+    return (hasRecovered ? this.recoveredAt : now) + LAPSE_GRACE_MS
   }
 }
--- a/packages/almondrelay-gateway/src/process/store/storedText.ts
+++ b/packages/almondrelay-gateway/src/process/store/storedText.ts
@@ -9,21 +9,21 @@
  * Length in bytes from which a value is compressed. Each value is sent to the store and from there to every host that watches it:
  * an account page of 141 rows has 33.7 KB, and 4.3 KB when compressed, which takes 4 ms.
  */
-const COMPRESS_FROM = 512
+const MIN_COMPRESSED_BYTES = 512
 /**
  * Maximum length of a decompressed text in bytes: sixteen times that of the longest value that the store takes. A value of one
  * megabyte by another writer may decompress to a gigabyte, several times the memory of a host.
  */
-const LONGEST_TEXT = 16 * 1024 * 1024
+const MAX_TEXT_BYTES = 16 * 1024 * 1024
 
 /** Encodes texts for the store and decodes them, compressed from a minimum length on. */
 export const storedText = {
   encode: async (text: string): Promise<Buffer> => {
     const bytes = Buffer.from(text)
-    return bytes.byteLength < COMPRESS_FROM ? bytes : await compress(bytes)
+    return bytes.byteLength < MIN_COMPRESSED_BYTES ? bytes : await compress(bytes)
   },
   decode: async (bytes: Buffer): Promise<string> => {
     const isCompressed = GZIP_MAGIC.every((byte, index) => bytes[index] === byte)
-    return (isCompressed ? await decompress(bytes, { maxOutputLength: LONGEST_TEXT }) : bytes).toString()
+    return (isCompressed ? await decompress(bytes, { maxOutputLength: MAX_TEXT_BYTES }) : bytes).toString()
   }
 }
