--- a/packages/almondrelay-gateway/src/process/__tests__/suspendedClock.test.ts
+++ b/packages/almondrelay-gateway/src/process/__tests__/suspensionAwareClock.test.ts
@@ -1,6 +1,6 @@
 import { suite } from 'uvu'
 import * as assert from 'uvu/assert'
-import { SuspendedClock } from '../suspendedClock.js'
+import { SuspensionAwareClock } from '../suspensionAwareClock.js'
 
 const test = suite('SuspendedClock')
 
@@ -10,7 +10,7 @@
   wall = 1_800_000_000_000
   uptime = 90_000
   readonly gaps: number[] = []
-  readonly clock = new SuspendedClock({ readSteady: () => this.steady, readWall: () => this.wall, readUptime: () => this.uptime }, (gapMs) => { this.gaps.push(gapMs) })
+  readonly clock = new SuspensionAwareClock({ readSteady: () => this.steady, readWall: () => this.wall, readUptime: () => this.uptime }, (gapMs) => { this.gaps.push(gapMs) })
 
   run (ms: number): void {
     this.steady += ms
--- a/packages/almondrelay-gateway/src/process/forward/requestHandler.ts
+++ b/packages/almondrelay-gateway/src/process/forward/requestHandler.ts
@@ -18,7 +18,7 @@
 import type { SteeringConfiguration } from '../../version/steeringConfiguration.js'
 import { pickDestination } from '../../version/pickDestination.js'
 import type { Allowances } from '../organisations/allowances.js'
-import type { AccountKeeper } from '../observe/accountKeeper.js'
+import type { AccountRecorder } from '../observe/accountRecorder.js'
 import type { EventLog } from '../observe/eventLog.js'
 import type { GatewayMetrics } from '../observe/gatewayMetrics.js'
 import type { Quarantine } from '../quarantine/quarantine.js'
@@ -47,7 +47,7 @@
   allowances: Allowances
   quarantine: Quarantine
   log: EventLog
-  account: AccountKeeper
+  account: AccountRecorder
   metrics: GatewayMetrics
   /** Age of this host's state, in milliseconds, above which a newer configuration may already be binding. */
   staleAfterMs: number
--- a/packages/almondrelay-gateway/src/process/forward/requestRefuser.ts
+++ b/packages/almondrelay-gateway/src/process/forward/requestRefuser.ts
@@ -9,7 +9,7 @@
 import type { Organisation } from '../../version/organisation.js'
 import type { Route } from '../../version/route.js'
 import type { FleetState } from '../fleet/fleetState.js'
-import type { AccountKeeper } from '../observe/accountKeeper.js'
+import type { AccountRecorder } from '../observe/accountRecorder.js'
 import type { EventLog } from '../observe/eventLog.js'
 import type { GatewayMetrics } from '../observe/gatewayMetrics.js'
 import type { EarlyRefusal } from './earlyRefusal.js'
@@ -31,7 +31,7 @@
   load: HostLoad
   memory: AnswerMemory
   log: EventLog
-  account: AccountKeeper
+  account: AccountRecorder
   metrics: GatewayMetrics
   /** Age of this host's state, in milliseconds, above which a newer configuration may already be binding. */
   staleAfterMs: number
--- a/packages/almondrelay-gateway/src/process/gateway.ts
+++ b/packages/almondrelay-gateway/src/process/gateway.ts
@@ -22,10 +22,10 @@
 import { LookupAnswers } from './lookup/lookupAnswers.js'
 import { Allowances } from './organisations/allowances.js'
 import { UsageExchange } from './organisations/usageExchange.js'
-import { AccountKeeper } from './observe/accountKeeper.js'
+import { AccountRecorder } from './observe/accountRecorder.js'
 import type { EventLog } from './observe/eventLog.js'
 import type { GatewayMetrics } from './observe/gatewayMetrics.js'
-import { OperatorDesk } from './operators/operatorDesk.js'
+import { LazyOperatorService } from './operators/lazyOperatorService.js'
 import { decodeDatagram } from './peers/decodeDatagram.js'
 import { PeerExchange } from './peers/peerExchange.js'
 import { PeerSocket } from './peers/peerSocket.js'
@@ -38,22 +38,22 @@
 import type { StoreHealth } from './store/storeHealth.js'
 
 /** Milliseconds between checks for connections to targets that have been idle for too long. */
-const IDLE_CHECK_MS = 1_000
+const IDLE_CHECK_INTERVAL_MS = 1_000
 /**
  * Milliseconds after the stop signal during which the caller port still accepts connections, for callers that use an earlier
  * look-up answer: the time to live of such an answer plus the time of a look-up.
  */
-const ACCEPT_MS = 3_000
+const ACCEPT_AFTER_STOP_MS = 3_000
 /** Milliseconds of the grace period that are reserved for writing the last answers before the process is killed. */
-const GRACE_MARGIN_MS = 300
+const STOP_GRACE_MARGIN_MS = 300
 /** Maximum milliseconds, within the remaining grace period, for writing the last account pages at a planned stop. */
-const LAST_PAGES_MS = 1_000
+const MAX_ACCOUNT_FLUSH_MS = 1_000
 /** Maximum bytes of answers held in memory at once; an answer takes twice its size while its chunks are concatenated. */
-const MOST_ANSWER_BYTES = 48 * 1024 * 1024
+const MAX_ANSWER_BYTES = 48 * 1024 * 1024
 /** Abort listeners that the tasks may register at the same time; above this number Node.js warns of a listener leak. */
-const MOST_WAITS = 50
+const MAX_ABORT_LISTENERS = 50
 /** Milliseconds between checks for unanswered requests during a planned stop. */
-const STOP_CHECK_MS = 50
+const STOP_CHECK_INTERVAL_MS = 50
 
 interface GatewayParts {
   settings: GatewaySettings
@@ -76,23 +76,23 @@
   private readonly view: PeerView
   private readonly forward: ForwardState
   private readonly planner: RegionPlanner
-  private readonly exchange: PeerExchange
+  private readonly peerExchange: PeerExchange
   private readonly socket: PeerSocket
   private readonly allowances: Allowances
-  private readonly useExchange: UsageExchange
+  private readonly usageExchange: UsageExchange
   private readonly suspectExchange: SuspectExchange
   private readonly quarantine: Quarantine
-  private readonly handler: RequestHandler
+  private readonly requestHandler: RequestHandler
   private readonly callers: CallerServer
   private readonly lookups: LookupAnswers
   private readonly announcer: HostAnnouncer
   private readonly follower: FleetFollower
-  private readonly account: AccountKeeper
-  private readonly desk: OperatorDesk
+  private readonly account: AccountRecorder
+  private readonly operatorService: LazyOperatorService
   private readonly load = new HostLoad()
-  private readonly memory = new AnswerMemory(MOST_ANSWER_BYTES)
+  private readonly memory = new AnswerMemory(MAX_ANSWER_BYTES)
   private readonly turns: TurnQueue
-  private readonly owner = new AbortController()
+  private readonly abortController = new AbortController()
   private isLeaving = false
 
   constructor (private readonly parts: GatewayParts) {
@@ -110,23 +110,23 @@
     })
     this.fleet.putHost(this.own)
     this.view = new PeerView(this.own, this.fleet)
-    this.forward = new ForwardState({ settings, fleet: this.fleet, peers: this.view, codec: adapter.targets, memory: this.memory, getNow, countOpened: (region) => { metrics.countConnection(region) }, observeFailure: (target, failure, isUnconnected) => { this.observeFailure(target, failure, isUnconnected) }, startRuntime: (runtime) => { this.planner.start(runtime, getNow()) }, signal: this.owner.signal })
+    this.forward = new ForwardState({ settings, fleet: this.fleet, peers: this.view, codec: adapter.targets, memory: this.memory, getNow, countOpened: (region) => { metrics.countConnection(region) }, observeFailure: (target, failure, isUnconnected) => { this.observeFailure(target, failure, isUnconnected) }, startRuntime: (runtime) => { this.planner.start(runtime, getNow()) }, signal: this.abortController.signal })
     const regions = [...new Set(Object.values(settings.availabilityZones))]
     this.planner = new RegionPlanner({ ownRegion: this.own.region, regions, forward: this.forward, view: this.view, getNow })
     const logError = (error: Error): void => { log.logError('error on a port of this host', error) }
     this.socket = new PeerSocket(logError)
-    this.exchange = new PeerExchange({ own: this.own, fleet: this.fleet, forward: this.forward, view: this.view, socket: this.socket, getNow, isLeaving, getDeclaredRevision: () => this.desk.revision, receiveRevision: (revision, notableRevision, now) => { this.follower.receivePeerRevision(revision, notableRevision, now) }, acceptRelayedChanges: (changes) => { this.follower.applyRelayedChanges(changes) }, receiveWatcherReport: (report, now) => { this.follower.receiveWatcherState(report.storeRevision, report.notableRevision, report.storeAgeMs, now) } })
+    this.peerExchange = new PeerExchange({ own: this.own, fleet: this.fleet, forward: this.forward, view: this.view, socket: this.socket, getNow, isLeaving, getDeclaredRevision: () => this.operatorService.revision, receiveRevision: (revision, notableRevision, now) => { this.follower.receivePeerRevision(revision, notableRevision, now) }, acceptRelayedChanges: (changes) => { this.follower.applyRelayedChanges(changes) }, receiveWatcherReport: (report, now) => { this.follower.receiveWatcherState(report.storeRevision, report.notableRevision, report.storeAgeMs, now) } })
     this.allowances = new Allowances({ availabilityZone: this.own.availabilityZone, windowMs: settings.bounds.allowanceWindow, startedAt: getNow(), countHosts: () => this.view.countPossibleHosts(getNow()), isAggregator: (now) => this.view.isAggregator(now) })
-    this.useExchange = new UsageExchange({ own: this.own, view: this.view, allowances: this.allowances, socket: this.socket, getNow, sleep: sleepFor })
-    const { quarantine, exchange: suspectExchange } = createQuarantine({ own: this.own, view: this.view, socket: this.socket, store: adapter.store, codec: adapter.fleet, log, metrics, getNow, random }, this.owner.signal)
+    this.usageExchange = new UsageExchange({ own: this.own, view: this.view, allowances: this.allowances, socket: this.socket, getNow, sleep: sleepFor })
+    const { quarantine, exchange: suspectExchange } = createQuarantine({ own: this.own, view: this.view, socket: this.socket, store: adapter.store, codec: adapter.fleet, log, metrics, getNow, random }, this.abortController.signal)
     this.quarantine = quarantine
     this.suspectExchange = suspectExchange
     const clock = new SystemClock()
     const values = new StoreKeyValues(adapter.store, adapter.fleet.productPrefix)
-    this.account = new AccountKeeper({ own: this.own, values, clock, log, random })
-    this.desk = new OperatorDesk({ own: this.own, availabilityZones: settings.availabilityZones, fleet: this.fleet, view: this.view, forward: this.forward, quarantine: this.quarantine, values, clock, logger: parts.logger, isLeaving }, this.owner.signal)
-    this.handler = new RequestHandler({ startedAt: getNow(), staleAfterMs: settings.bounds.configurationInForce, account: this.account, allowances: this.allowances, quarantine: this.quarantine, load: this.load, memory: this.memory, callerCodec: adapter.callers, targetCodec: adapter.targets, forward: this.forward, log, metrics, getNow, random })
-    this.callers = new CallerServer((message, left, arrivedAt) => this.handler.handle(message, left, arrivedAt), this.turns, this.memory, logError)
+    this.account = new AccountRecorder({ own: this.own, values, clock, log, random })
+    this.operatorService = new LazyOperatorService({ own: this.own, availabilityZones: settings.availabilityZones, fleet: this.fleet, view: this.view, forward: this.forward, quarantine: this.quarantine, values, clock, logger: parts.logger, isLeaving }, this.abortController.signal)
+    this.requestHandler = new RequestHandler({ startedAt: getNow(), staleAfterMs: settings.bounds.configurationInForce, account: this.account, allowances: this.allowances, quarantine: this.quarantine, load: this.load, memory: this.memory, callerCodec: adapter.callers, targetCodec: adapter.targets, forward: this.forward, log, metrics, getNow, random })
+    this.callers = new CallerServer((message, left, arrivedAt) => this.requestHandler.handle(message, left, arrivedAt), this.turns, this.memory, logError)
     this.lookups = new LookupAnswers({ codec: adapter.lookups, fleet: this.fleet, view: this.view, ownRegion: this.own.region, maxTtlMs: settings.bounds.longestLookupLife, log, getNow, isLeaving })
     this.follower = this.createFollower()
     this.announcer = new HostAnnouncer({ store: adapter.store, codec: adapter.fleet, entry: this.own, log, random })
@@ -146,12 +146,12 @@
       isWatcher: () => this.view.isRepresentative(getNow()),
       isReliedOn: () => this.view.isLargeRegion(),
       hasReliableWatchers: () => this.view.hasReliableWatchers(this.parts.settings.bounds.leavingInForce, getNow()),
-      relay: (changes) => { if (this.view.isRelay(getNow())) this.exchange.relay(changes) },
+      relay: (changes) => { if (this.view.isRelay(getNow())) this.peerExchange.relay(changes) },
       handleOwnEntryRemoved: () => { this.announcer.restoreEntry() },
-      handleDeclaredChange: (revision, body) => { this.desk.acceptChange(revision, body) },
+      handleDeclaredChange: (revision, body) => { this.operatorService.acceptChange(revision, body) },
       handleSuspectRecord: (record, revision) => { this.quarantine.adoptRecord(record, revision, getNow()) },
       handleSuspectRecordRemoved: (fingerprint) => { this.quarantine.dropRecord(fingerprint) },
-      handleOmittedKeys: () => { this.desk.refresh() },
+      handleOmittedKeys: () => { this.operatorService.refresh() },
       handleConfiguration: () => {
         const { configuration } = this.fleet
         if (configuration === undefined) return
@@ -164,18 +164,18 @@
 
   /** Serves until the signal aborts, then performs a planned stop. Resolves with the number of requests left unanswered. */
   async run (signal: AbortSignal): Promise<number> {
-    const { owner } = this
+    const { abortController: abortController } = this
     const leaving = new AbortController()
-    setMaxListeners(MOST_WAITS, owner.signal, leaving.signal)
-    await this.openPorts(owner.signal)
-    const tasks = this.startTasks(owner.signal, leaving.signal)
+    setMaxListeners(MAX_ABORT_LISTENERS, abortController.signal, leaving.signal)
+    await this.openPorts(abortController.signal)
+    const tasks = this.startTasks(abortController.signal, leaving.signal)
     this.parts.log.report('host started', { incarnation: this.own.incarnation })
     await new Promise<void>((resolve) => {
       if (signal.aborted) resolve()
       signal.addEventListener('abort', () => { resolve() }, { once: true })
     })
     const unfinished = await this.stop(leaving)
-    owner.abort()
+    abortController.abort()
     await tasks
     return unfinished
   }
@@ -188,7 +188,7 @@
    */
   handleGap (gapMs: number): void {
     this.parts.log.report('host was suspended', { gapMs: Math.round(gapMs) })
-    this.handler.expireRequests()
+    this.requestHandler.expireRequests()
     this.follower.refresh('this host was suspended')
   }
 
@@ -202,7 +202,7 @@
     await this.socket.listen(this.own.ip, this.own.peerPort, (bytes, ip) => { this.handleDatagram(bytes, ip) }, signal)
     await listenForGet(readiness.host, readiness.port, (path) => this.lookups.answerReadiness(path), logError)
     await listenForGet(lookups.host, lookups.port, (path, query) => this.lookups.answerLookup(path, query), logError)
-    const operators = createServer((request, response) => { this.desk.answer(request, response) })
+    const operators = createServer((request, response) => { this.operatorService.answer(request, response) })
     await openServer(operators, `${this.own.ip}:${settings.peerPorts[1]}`)
     await listenForGet(settings.host.ip, settings.metrics.port, async (path) => path === settings.metrics.path
       ? { status: 200, type: 'text/plain', body: await metrics.render() }
@@ -211,8 +211,8 @@
 
   private handleDatagram (bytes: Uint8Array, ip: string): void {
     const message = decodeDatagram(bytes)
-    if (message?.kind === 'load') this.exchange.handleReport(message.report, ip)
-    if (message?.kind === 'use') this.useExchange.handleReport(message.report, ip)
+    if (message?.kind === 'load') this.peerExchange.handleReport(message.report, ip)
+    if (message?.kind === 'use') this.usageExchange.handleReport(message.report, ip)
     if (message?.kind === 'suspects') this.suspectExchange.handleReport(message.report, ip)
   }
 
@@ -223,12 +223,12 @@
   }
 
   private startTasks (signal: AbortSignal, leaving: AbortSignal): Promise<unknown> {
-    return Promise.all([this.follower.run(signal), this.announcer.run(leaving), this.exchange.run(signal), this.useExchange.run(signal), this.planner.run(signal), this.closeIdle(signal), this.account.run(leaving), runLoadSampler({ load: this.load, turns: this.turns, ...this.parts }, signal)])
+    return Promise.all([this.follower.run(signal), this.announcer.run(leaving), this.peerExchange.run(signal), this.usageExchange.run(signal), this.planner.run(signal), this.closeIdleConnections(signal), this.account.run(leaving), runLoadSampler({ load: this.load, turns: this.turns, ...this.parts }, signal)])
   }
 
-  private async closeIdle (signal: AbortSignal): Promise<void> {
+  private async closeIdleConnections (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await sleepFor(IDLE_CHECK_MS, signal)
+      await sleepFor(IDLE_CHECK_INTERVAL_MS, signal)
       this.forward.pools.closeIdle(this.parts.getNow())
     }
   }
@@ -240,16 +240,16 @@
     const stoppedAt = getNow()
     this.isLeaving = true
     this.callers.leave()
-    this.exchange.announce()
+    this.peerExchange.announce()
     leaving.abort()
     log.report('planned stop', { unanswered: this.callers.countUnanswered() })
-    const never = new AbortController().signal
-    await sleepFor(ACCEPT_MS, never)
+    const neverAborted = new AbortController().signal
+    await sleepFor(ACCEPT_AFTER_STOP_MS, neverAborted)
     this.callers.close()
-    while (this.callers.countUnanswered() > 0 && getNow() - stoppedAt < settings.bounds.stopGrace - GRACE_MARGIN_MS) await sleepFor(STOP_CHECK_MS, never)
+    while (this.callers.countUnanswered() > 0 && getNow() - stoppedAt < settings.bounds.stopGrace - STOP_GRACE_MARGIN_MS) await sleepFor(STOP_CHECK_INTERVAL_MS, neverAborted)
     const unfinished = this.callers.countUnanswered()
-    const leftMs = settings.bounds.stopGrace - GRACE_MARGIN_MS - (getNow() - stoppedAt)
-    const unwrittenPages = await this.account.finish(Math.max(1, Math.min(LAST_PAGES_MS, leftMs)))
+    const remainingGraceMs = settings.bounds.stopGrace - STOP_GRACE_MARGIN_MS - (getNow() - stoppedAt)
+    const unwrittenPages = await this.account.finish(Math.max(1, Math.min(MAX_ACCOUNT_FLUSH_MS, remainingGraceMs)))
     log.report('host stopped', { unfinished, unwrittenPages })
     return unfinished
   }
--- a/packages/almondrelay-gateway/src/process/observe/accountKeeper.ts
+++ b/packages/almondrelay-gateway/src/process/observe/accountRecorder.ts
@@ -7,7 +7,7 @@
 import type { RequestRecord } from '../forward/requestRecord.js'
 import type { EventLog } from './eventLog.js'
 
-interface KeeperParts {
+interface RecorderParts {
   own: HostEntry
   values: KeyValueStore
   clock: Clock
@@ -16,11 +16,11 @@
 }
 
 /** Counts final answers by caller, service, place and outcome, and writes the counts to the store each minute as account pages. */
-export class AccountKeeper {
+export class AccountRecorder {
   private readonly ledger: AccountLedger
   private readonly writer: AccountWriter
 
-  constructor (private readonly parts: KeeperParts) {
+  constructor (private readonly parts: RecorderParts) {
     const { own, values, clock, log, random } = parts
     this.ledger = new AccountLedger({ host: own.name, incarnation: Number.parseInt(own.incarnation, 10) })
     this.writer = new AccountWriter(this.ledger, values, {
--- a/packages/almondrelay-gateway/src/process/observe/eventLog.ts
+++ b/packages/almondrelay-gateway/src/process/observe/eventLog.ts
@@ -1,12 +1,12 @@
 import type Logger from 'bunyan'
 
 /** Maximum log lines per second; a host at its full request rate writes about a third of that. */
-const LINES_PER_SECOND = 600
+const MAX_LINES_PER_SECOND = 600
 const SECOND_MS = 1_000
 
 /** Structured log with a limited rate: under overload, lines are dropped and counted instead of delaying requests. */
 export class EventLog {
-  private secondStart = 0
+  private windowStartedAt = 0
   private lines = 0
   private dropped = 0
 
@@ -30,14 +30,14 @@
   /** Counts a line; returns whether it is within the rate limit. */
   private use (): boolean {
     const now = this.getNow()
-    if (now - this.secondStart >= SECOND_MS) {
+    if (now - this.windowStartedAt >= SECOND_MS) {
       if (this.dropped > 0) this.logger.warn({ dropped: this.dropped }, 'log lines dropped')
-      this.secondStart = now
+      this.windowStartedAt = now
       this.lines = 0
       this.dropped = 0
     }
     this.lines += 1
-    if (this.lines <= LINES_PER_SECOND) return true
+    if (this.lines <= MAX_LINES_PER_SECOND) return true
     this.dropped += 1
     return false
   }
--- a/packages/almondrelay-gateway/src/process/observe/gatewayMetrics.ts
+++ b/packages/almondrelay-gateway/src/process/observe/gatewayMetrics.ts
@@ -1,13 +1,13 @@
 import { Counter, Gauge, Histogram, Registry } from 'prom-client'
 
 /** Histogram buckets in seconds: from the answer of a warm target nearby to the longest timeout of a route. */
-const LATENCY_BOUNDS = [0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2, 3]
+const LATENCY_BUCKETS = [0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2, 3]
 
 /** Histogram buckets in seconds for the delay with which the host does its own work; from 0.15 s on, requests are shed. */
-const DELAY_BOUNDS = [0.01, 0.05, 0.15, 0.5, 1.5]
+const DELAY_BUCKETS = [0.01, 0.05, 0.15, 0.5, 1.5]
 
 /** Maximum number of organisations with their own label value, first come, first served: each adds a time series per outcome and host. */
-const MOST_ORGANISATIONS = 200
+const MAX_ORGANISATION_LABELS = 200
 /** Label value under which all further organisations are counted together. */
 const OTHER_ORGANISATIONS = 'others'
 
@@ -15,14 +15,14 @@
 export class GatewayMetrics {
   private readonly registry = new Registry()
   private readonly answers = new Counter({ name: 'almondrelay_answers_total', help: 'Answers to callers', labelNames: ['service', 'outcome'], registers: [this.registry] })
-  private readonly latency = new Histogram({ name: 'almondrelay_answer_seconds', help: 'Time from a request to its answer', labelNames: ['service'], buckets: LATENCY_BOUNDS, registers: [this.registry] })
+  private readonly latency = new Histogram({ name: 'almondrelay_answer_seconds', help: 'Time from a request to its answer', labelNames: ['service'], buckets: LATENCY_BUCKETS, registers: [this.registry] })
   private readonly organisations = new Counter({ name: 'almondrelay_organisation_answers_total', help: 'Answers to the callers of each organisation', labelNames: ['organisation', 'outcome'], registers: [this.registry] })
-  private readonly named = new Set<string>()
+  private readonly labelledOrganisations = new Set<string>()
   private readonly connections = new Counter({ name: 'almondrelay_target_connections_total', help: 'Connections opened to targets', labelNames: ['region'], registers: [this.registry] })
   private readonly connectFailures = new Counter({ name: 'almondrelay_target_connect_failures_total', help: 'Connections to targets that could not be had', labelNames: ['region', 'reason'], registers: [this.registry] })
   private readonly quarantine = new Counter({ name: 'almondrelay_quarantine_events_total', help: 'Requests quarantined, tried and released', labelNames: ['event'], registers: [this.registry] })
   private readonly platformCalls = new Counter({ name: 'almondrelay_platform_calls_total', help: 'Calls to the platform', labelNames: ['call', 'outcome'], registers: [this.registry] })
-  private readonly delay = new Histogram({ name: 'almondrelay_work_delay_seconds', help: 'Lateness of a timer of this host', buckets: DELAY_BOUNDS, registers: [this.registry] })
+  private readonly workDelay = new Histogram({ name: 'almondrelay_work_delay_seconds', help: 'Lateness of a timer of this host', buckets: DELAY_BUCKETS, registers: [this.registry] })
   private readonly version = new Gauge({ name: 'almondrelay_configuration_version', help: 'Version of the configuration in force', registers: [this.registry] })
 
   observeAnswer (service: string, outcome: string, durationMs: number): void {
@@ -32,12 +32,12 @@
 
   /** @param outcome kind of the final answer, or the reason of a refusal that came before a target was chosen */
   countOrganisation (organisation: string, outcome: string): void {
-    if (this.named.size < MOST_ORGANISATIONS) this.named.add(organisation)
-    this.organisations.inc({ organisation: this.named.has(organisation) ? organisation : OTHER_ORGANISATIONS, outcome })
+    if (this.labelledOrganisations.size < MAX_ORGANISATION_LABELS) this.labelledOrganisations.add(organisation)
+    this.organisations.inc({ organisation: this.labelledOrganisations.has(organisation) ? organisation : OTHER_ORGANISATIONS, outcome })
   }
 
   observeDelay (delayMs: number): void {
-    this.delay.observe(delayMs / 1_000)
+    this.workDelay.observe(delayMs / 1_000)
   }
 
   countConnection (region: string): void {
@@ -48,7 +48,7 @@
     this.connectFailures.inc({ region, reason })
   }
 
-  countQuarantine (event: string): void {
+  countQuarantineEvent (event: string): void {
     this.quarantine.inc({ event })
   }
 
--- a/packages/almondrelay-gateway/src/process/observe/stdoutWriter.ts
+++ b/packages/almondrelay-gateway/src/process/observe/stdoutWriter.ts
@@ -1,8 +1,8 @@
 import { write } from 'node:fs'
 
-const STDOUT = 1
+const STDOUT_FD = 1
 /** Maximum bytes queued for a slow reader of the log; further output is dropped and counted. */
-const MOST_WAITING_BYTES = 1024 * 1024
+const MAX_WAITING_BYTES = 1024 * 1024
 
 /**
  * Writes to standard output without blocking: a synchronous write to a pipe whose reader has stalled would stop the
@@ -16,7 +16,7 @@
   droppedBytes = 0
 
   write (chunk: Buffer): void {
-    if (this.waitingBytes + chunk.byteLength > MOST_WAITING_BYTES) {
+    if (this.waitingBytes + chunk.byteLength > MAX_WAITING_BYTES) {
       this.droppedBytes += chunk.byteLength
       return
     }
@@ -32,7 +32,7 @@
       return
     }
     this.isWriting = true
-    write(STDOUT, chunk, (error, written) => {
+    write(STDOUT_FD, chunk, (error, written) => {
       if (error !== null) this.droppedBytes += chunk.byteLength
       this.finishWrite(chunk, error === null ? written : chunk.byteLength)
     })
--- a/packages/almondrelay-gateway/src/process/operators/operatorDesk.ts
+++ b/packages/almondrelay-gateway/src/process/operators/lazyOperatorService.ts
@@ -6,7 +6,7 @@
  * Loads the service of the operators' API when it is first needed. Loading it at every start would use processor time while
  * callers wait for the host to restart, and most hosts never receive a call of an operator.
  */
-export class OperatorDesk {
+export class LazyOperatorService {
   private service: OperatorService | undefined
   private loading: Promise<OperatorService> | undefined
 
@@ -27,7 +27,7 @@
 
   /** Reads the resources from the store, as after a full read of the fleet that stopped at the product's own keys. */
   refresh (): void {
-    this.run(async (service) => { await service.repair() })
+    this.run(async (service) => { await service.refresh() })
   }
 
   private run (use: (service: OperatorService) => Promise<void>): void {
--- a/packages/almondrelay-gateway/src/process/operators/listMembers.ts
+++ b/packages/almondrelay-gateway/src/process/operators/listMembers.ts
@@ -4,7 +4,7 @@
 import type { PeerView } from '../peers/peerView.js'
 
 /** Milliseconds without a report after which a host counts as unreachable; reports from other regions arrive every 2 s. */
-const SILENCE_MS = 5_000
+const MAX_REPORT_AGE_MS = 5_000
 
 interface MemberParts {
   own: HostEntry
@@ -17,26 +17,26 @@
 /** Lists the hosts of the fleet, each with the revision of the operators' resources in force there by its last received report. */
 export function listMembers ({ own, fleet, view, ownRevision, isLeaving }: MemberParts, now: number): Member[] {
   return fleet.listHosts().map((entry) => {
-    const word = entry.name === own.name ? { receivedAt: now, isLeaving, declaredRevision: ownRevision } : view.findLastReport(entry)
-    return describeMember(entry, word, now)
+    const lastReport = entry.name === own.name ? { receivedAt: now, isLeaving, declaredRevision: ownRevision } : view.findLastReport(entry)
+    return describeMember(entry, lastReport, now)
   })
 }
 
-const describeMember = (entry: HostEntry, word: ReturnType<PeerView['findLastReport']>, now: number): Member => ({
+const describeMember = (entry: HostEntry, lastReport: ReturnType<PeerView['findLastReport']>, now: number): Member => ({
   host: entry.name,
   incarnation: Number.parseInt(entry.incarnation, 10) || 0,
   availabilityZone: entry.availabilityZone,
   region: entry.region,
   callerAddress: `${entry.ip}:${entry.callerPort}`,
   peerAddress: `${entry.ip}:${entry.peerPort}`,
-  revision: word?.declaredRevision ?? 0,
+  revision: lastReport?.declaredRevision ?? 0,
   loads: [],
-  state: findState(word, now),
-  heardAgeMs: word === undefined ? 0 : Math.round(now - word.receivedAt)
+  state: findMemberState(lastReport, now),
+  heardAgeMs: lastReport === undefined ? 0 : Math.round(now - lastReport.receivedAt)
 })
 
-const findState = (word: ReturnType<PeerView['findLastReport']>, now: number): MemberState => {
-  if (word === undefined) return MemberState.unheard
-  if (word.isLeaving) return MemberState.leaving
-  return now - word.receivedAt <= SILENCE_MS ? MemberState.live : MemberState.suspected
+const findMemberState = (lastReport: ReturnType<PeerView['findLastReport']>, now: number): MemberState => {
+  if (lastReport === undefined) return MemberState.unheard
+  if (lastReport.isLeaving) return MemberState.leaving
+  return now - lastReport.receivedAt <= MAX_REPORT_AGE_MS ? MemberState.live : MemberState.suspected
 }
--- a/packages/almondrelay-gateway/src/process/operators/listGivenResources.ts
+++ b/packages/almondrelay-gateway/src/process/operators/listPlatformResources.ts
@@ -2,9 +2,9 @@
 import type { FleetState } from '../fleet/fleetState.js'
 
 /** Revision of resources that the platform declares: no change of an operator made them, and they are in force on every host. */
-const GIVEN_REVISION = 0
+const PLATFORM_REVISION = 0
 /** The platform states no limit on the requests in flight of a region, so this value limits nothing. */
-const UNLIMITED = 10_000_000
+const UNLIMITED_REQUESTS = 10_000_000
 
 /**
  * Returns the regions and services that the platform declares, in the form of operators' resources, so that policies,
@@ -12,11 +12,11 @@
  *
  * @param availabilityZones region of each availability zone
  */
-export function listGivenResources (fleet: FleetState, availabilityZones: Readonly<Record<string, string>>): Resource[] {
+export function listPlatformResources (fleet: FleetState, availabilityZones: Readonly<Record<string, string>>): Resource[] {
   const regions = [...new Set(Object.values(availabilityZones))]
   const services = [...fleet.configuration?.services.keys() ?? []]
   return [
-    ...regions.map((region): Resource => ({ kind: 'Region', name: region, revision: GIVEN_REVISION, spec: { availabilityZones: listZones(availabilityZones, region), maxInFlight: UNLIMITED, clientBlocks: [] } })),
+    ...regions.map((region): Resource => ({ kind: 'Region', name: region, revision: PLATFORM_REVISION, spec: { availabilityZones: listZones(availabilityZones, region), maxInFlight: UNLIMITED_REQUESTS, clientBlocks: [] } })),
     ...services.map((service) => describeService(fleet, service))
   ]
 }
@@ -28,7 +28,7 @@
   const connections = fleet.findService(name)?.maxConnections ?? 1
   const targets = fleet.listTargets(name).map(({ entry }) => ({ name: entry.id, address: `${entry.ip}:${entry.port}`, availabilityZone: entry.availabilityZone, slots: entry.slots, connections }))
   const { maxBodyBytes, defaultDeadlineMs } = describeLimits(fleet, name)
-  return { kind: 'Service', name, revision: GIVEN_REVISION, spec: { targets, routes: [], maxBodyBytes, defaultDeadlineMs, healthPath: '/health' } }
+  return { kind: 'Service', name, revision: PLATFORM_REVISION, spec: { targets, routes: [], maxBodyBytes, defaultDeadlineMs, healthPath: '/health' } }
 }
 
 const describeLimits = (fleet: FleetState, service: string): { maxBodyBytes: number, defaultDeadlineMs: number } => {
--- a/packages/almondrelay-gateway/src/process/operators/operatorService.ts
+++ b/packages/almondrelay-gateway/src/process/operators/operatorService.ts
@@ -5,7 +5,7 @@
 import { DeclaredSteering } from '../../version/declaredSteering.js'
 import { storedText } from '../store/storedText.js'
 import { addQuarantineRoutes } from './addQuarantineRoutes.js'
-import { listGivenResources } from './listGivenResources.js'
+import { listPlatformResources } from './listPlatformResources.js'
 import { listMembers } from './listMembers.js'
 import type { OperatorParts } from './operatorParts.js'
 
@@ -16,11 +16,11 @@
 export class OperatorService {
   private readonly store: ConfigurationStore
   private readonly listener: ReturnType<typeof getRequestListener>
-  private repairing: Promise<void> | undefined
+  private refreshing: Promise<void> | undefined
 
   constructor (private readonly parts: OperatorParts, private readonly signal: AbortSignal) {
     const { own, availabilityZones, fleet, forward, values, clock, logger } = parts
-    this.store = new ConfigurationStore(() => listGivenResources(fleet, availabilityZones))
+    this.store = new ConfigurationStore(() => listPlatformResources(fleet, availabilityZones))
     this.store.subscribe((configuration) => {
       forward.steering = new DeclaredSteering(configuration, own.region)
       logger.warn({ revision: configuration.revision }, 'operators\' resources in force')
@@ -47,7 +47,7 @@
   }
 
   async answer (request: IncomingMessage, response: ServerResponse): Promise<void> {
-    if (!this.store.isReady) await this.repair()
+    if (!this.store.isReady) await this.refresh()
     await this.listener(request, response)
   }
 
@@ -56,16 +56,16 @@
     if (revision <= this.revision) return
     const text = await storedText.decode(body)
     if (revision === this.revision + 1 && this.store.isReady) this.store.adoptChange(decodeChange(text, revision), text)
-    else await this.repair()
+    else await this.refresh()
   }
 
   /** Updates the resources to the newest change in the store; concurrent calls share one run. */
-  async repair (): Promise<void> {
-    this.repairing ??= this.repairOnce().finally(() => { this.repairing = undefined })
-    await this.repairing
+  async refresh (): Promise<void> {
+    this.refreshing ??= this.refreshOnce().finally(() => { this.refreshing = undefined })
+    await this.refreshing
   }
 
-  private async repairOnce (): Promise<void> {
+  private async refreshOnce (): Promise<void> {
     const { values, logger } = this.parts
     try {
       await repairFromPlatform(values, this.store, this.signal)
--- a/packages/almondrelay-gateway/src/process/quarantine/quarantine.ts
+++ b/packages/almondrelay-gateway/src/process/quarantine/quarantine.ts
@@ -138,7 +138,7 @@
   }
 
   private report (event: string, suspect: Suspect): void {
-    this.parts.metrics.countQuarantine(event)
+    this.parts.metrics.countQuarantineEvent(event)
     this.parts.log.report(event, { ...suspect.describe(), trials: suspect.trials })
   }
 }
--- a/packages/almondrelay-gateway/src/process/settings/gatewaySettings.ts
+++ b/packages/almondrelay-gateway/src/process/settings/gatewaySettings.ts
@@ -6,7 +6,7 @@
 const port = z.int().min(1).max(65_535)
 
 /** Milliseconds; used when the settings name no window, as on platforms without allowances. */
-const PLAIN_ALLOWANCE_WINDOW_MS = 5_000
+const DEFAULT_ALLOWANCE_WINDOW_MS = 5_000
 
 /** Settings of a host. Unknown names are ignored, because the platform may add some. Durations are parsed into milliseconds. */
 const GatewaySettings = z.object({
@@ -50,7 +50,7 @@
     /** Time within which every host must know a new configuration. */
     configurationInForce: duration,
     /** Window over which the allowance of an organisation, its rate and its burst, is counted. */
-    allowanceWindow: duration.default(PLAIN_ALLOWANCE_WINDOW_MS)
+    allowanceWindow: duration.default(DEFAULT_ALLOWANCE_WINDOW_MS)
   }),
   /** Port and path at which the metrics are served in the Prometheus text format. */
   metrics: z.object({ port: z.int().min(1).max(65_535), path: z.string().startsWith('/') }),
--- a/packages/almondrelay-gateway/src/process/suspendedClock.ts
+++ b/packages/almondrelay-gateway/src/process/suspensionAwareClock.ts
@@ -1,7 +1,7 @@
 import type { TimeSources } from './timeSources.js'
 
 /** Minimum advance of the wall clock over the steady clock, in milliseconds, at which the uptime is checked for a suspension. */
-const LEAST_GAP_MS = 250
+const MIN_GAP_MS = 250
 /** Milliseconds by which wall clock and uptime may disagree about a suspension: uptime has a resolution of 10 ms. */
 const TOLERANCE_MS = 100
 
@@ -13,9 +13,9 @@
  * after a suspension therefore jumps by its length, which corrects every age and deadline. The wall clock alone is no proof
  * of a suspension, because it may be set by others: the uptime must show the same gap.
  */
-export class SuspendedClock {
+export class SuspensionAwareClock {
   /** Milliseconds of all suspensions so far. */
-  private missedMs = 0
+  private suspendedMs = 0
   private lastSteady: number
   private lastWall: number
   private readonly startSteady: number
@@ -36,15 +36,15 @@
     const jumpMs = wall - this.lastWall - (steady - this.lastSteady)
     this.lastSteady = steady
     this.lastWall = wall
-    if (jumpMs >= LEAST_GAP_MS) this.checkGap(jumpMs, steady)
-    return steady + this.missedMs
+    if (jumpMs >= MIN_GAP_MS) this.checkGap(jumpMs, steady)
+    return steady + this.suspendedMs
   }
 
   private checkGap (jumpMs: number, steady: number): void {
-    const missedMs = this.sources.readUptime() - this.startUptime - (steady - this.startSteady)
-    const gapMs = missedMs - this.missedMs
+    const totalSuspendedMs = this.sources.readUptime() - this.startUptime - (steady - this.startSteady)
+    const gapMs = totalSuspendedMs - this.suspendedMs
     if (Math.abs(gapMs - jumpMs) > TOLERANCE_MS) return
-    this.missedMs += gapMs
+    this.suspendedMs += gapMs
     this.handleGap(gapMs)
   }
 }
