--- a/packages/almondrelay-gateway/src/connection/callerServer.ts
+++ b/packages/almondrelay-gateway/src/connection/callerServer.ts
@@ -120,7 +120,7 @@
     }, isFirst)
   }
 
-  private async serve ({ message, response, connection, callerLeft: callerLeft, arrivedAt }: AcceptedRequest): Promise<void> {
+  private async serve ({ message, response, connection, callerLeft, arrivedAt }: AcceptedRequest): Promise<void> {
     // The caller disconnected while its request was queued: handling it would only delay requests whose callers still wait.
     if (callerLeft.aborted) return
     const answer = await this.handleRequest(message, callerLeft, arrivedAt)
--- a/packages/almondrelay-gateway/src/process/__tests__/suspensionAwareClock.test.ts
+++ b/packages/almondrelay-gateway/src/process/__tests__/suspensionAwareClock.test.ts
@@ -2,7 +2,7 @@
 import * as assert from 'uvu/assert'
 import { SuspensionAwareClock } from '../suspensionAwareClock.js'
 
-const test = suite('SuspendedClock')
+const test = suite('SuspensionAwareClock')
 
 /** Clocks of a simulated machine, advanced by the test. */
 class MachineClocks {
--- a/packages/almondrelay-gateway/src/process/fleet/readPrefix.ts
+++ b/packages/almondrelay-gateway/src/process/fleet/readPrefix.ts
@@ -39,7 +39,7 @@
     revision = Math.min(revision, page.revision)
     items.push(...page.items)
     const hasOmittedKeys = page.isTruncated && items.at(-1)?.key.startsWith(codec.productPrefix) === true
-    if (!page.isTruncated || hasOmittedKeys) return { items, events: [], revision, hasOmittedKeys: hasOmittedKeys }
+    if (!page.isTruncated || hasOmittedKeys) return { items, events: [], revision, hasOmittedKeys }
     // Listing after the same key again would return the same page for ever.
     if (page.items.length === 0) throw new Error('listing of the store is truncated at a page without readable items')
   }
--- a/packages/almondrelay-gateway/src/process/forward/planRegionShares.ts
+++ b/packages/almondrelay-gateway/src/process/forward/planRegionShares.ts
@@ -17,7 +17,7 @@
 }
 
 /** Plans the share of a region's requests for one service that each region gets, from the demand that hosts report and the targets. */
-export function planRegionShares ({ ownRegion, regions, demands, targets, roundTripMs: roundTripMs, current }: RegionPlanInput, now: number): Map<string, number> {
+export function planRegionShares ({ ownRegion, regions, demands, targets, roundTripMs, current }: RegionPlanInput, now: number): Map<string, number> {
   const loads = regions.map((region): RegionLoad => ({
     region,
     slots: sumAvailableSlots(targets, region, now),
@@ -25,7 +25,7 @@
   }))
   const ownRegionDemands = demands.filter(({ region }) => region === ownRegion).map(({ demand }) => demand)
   const { warmMs } = computeMeanTimes(ownRegionDemands)
-  return computeRegionShares({ ownRegion: ownRegion, loads, roundTripRatio: warmMs > 0 ? roundTripMs / warmMs : Infinity, currentShares: current })
+  return computeRegionShares({ ownRegion, loads, roundTripRatio: warmMs > 0 ? roundTripMs / warmMs : Infinity, currentShares: current })
 }
 
 // Suspended targets get no requests, and a target that is four times slower than expected counts with a quarter of its slots.
--- a/packages/almondrelay-gateway/src/process/forward/regionPlanner.ts
+++ b/packages/almondrelay-gateway/src/process/forward/regionPlanner.ts
@@ -64,7 +64,7 @@
     const targets = fleet.listTargets(runtime.name).filter(({ entry }) => !fleet.isEvacuated(entry.availabilityZone) && !steering.isDrained(entry) && !steering.isRegionDrained(entry.region))
     const roundTripMs = Math.min(...regions.filter((region) => region !== ownRegion).map((region) => forward.roundTripTimes.find(region)))
     const current = runtime.regionShares.hasPlan ? runtime.regionShares.getShares() : undefined
-    const byLoad = planRegionShares({ ownRegion, regions, demands, targets, roundTripMs: roundTripMs, current }, now)
+    const byLoad = planRegionShares({ ownRegion, regions, demands, targets, roundTripMs, current }, now)
     const ownBusySlots = sumBusySlots(demands, ownRegion)
     return planDeclaredShares({ service: runtime.name, ownRegion, regions, sharesByLoad: byLoad, steering, ownBusySlots })
   }
--- a/packages/almondrelay-gateway/src/process/forward/requestHandler.ts
+++ b/packages/almondrelay-gateway/src/process/forward/requestHandler.ts
@@ -104,10 +104,10 @@
     const identity = identifyCaller(organisations, head.organisationKey, route)
     if (identity.kind === 'unknown') return this.refuser.refuseUnknownKey(message, head, route)
     if (head.id === undefined) return this.refuser.reject(message, undefined, 400, 'no request id')
-    return this.handleIdentified({ message, id: head.id, head, route, identity, arrivedAt, callerLeft: callerLeft }, configuration)
+    return this.handleIdentified({ message, id: head.id, head, route, identity, arrivedAt, callerLeft }, configuration)
   }
 
-  private async handleIdentified ({ message, id, head, route, identity, arrivedAt, callerLeft: callerLeft }: IdentifiedRequest, configuration: SteeringConfiguration): Promise<CallerAnswer | undefined> {
+  private async handleIdentified ({ message, id, head, route, identity, arrivedAt, callerLeft }: IdentifiedRequest, configuration: SteeringConfiguration): Promise<CallerAnswer | undefined> {
     const { load, memory, forward, getNow, random } = this.parts
     const { routes, organisations } = forward.fleet
     const organisation = findOrganisation(identity)
--- a/packages/almondrelay-gateway/src/process/forward/requestPlacement.ts
+++ b/packages/almondrelay-gateway/src/process/forward/requestPlacement.ts
@@ -30,7 +30,7 @@
   }
 
   choose (request: CallerRequest, triedIds: ReadonlySet<string>, now: number): TargetChoice | undefined {
-    const { fleet, roundTripTimes: roundTripTimes } = this.state
+    const { fleet, roundTripTimes } = this.state
     const { targetLatencyMs } = request.route
     const times = this.runtime.findTimes(request.route.name)
     const isRegionOpen = this.findOpenRegions(request.allowedRegions)
--- a/packages/almondrelay-gateway/src/process/gateway.ts
+++ b/packages/almondrelay-gateway/src/process/gateway.ts
@@ -164,7 +164,7 @@
 
   /** Serves until the signal aborts, then performs a planned stop. Resolves with the number of requests left unanswered. */
   async run (signal: AbortSignal): Promise<number> {
-    const { abortController: abortController } = this
+    const { abortController } = this
     const leaving = new AbortController()
     setMaxListeners(MAX_ABORT_LISTENERS, abortController.signal, leaving.signal)
     await this.openPorts(abortController.signal)
--- a/packages/almondrelay-gateway/src/process/lookup/lookupAnswers.ts
+++ b/packages/almondrelay-gateway/src/process/lookup/lookupAnswers.ts
@@ -38,7 +38,7 @@
   }
 
   answerLookup (path: string, query: URLSearchParams): Promise<PlainAnswer> {
-    const { codec, fleet, view, ownRegion, maxTtlMs: maxTtlMs, log, getNow } = this.parts
+    const { codec, fleet, view, ownRegion, maxTtlMs, log, getNow } = this.parts
     if (path !== codec.lookupPath) return Promise.resolve(makeAnswer(404, ''))
     if (!fleet.isComplete) return Promise.resolve(makeAnswer(503, ''))
     const region = codec.decodeRegion(query) ?? ownRegion
--- a/packages/almondrelay-gateway/src/process/organisations/allowances.ts
+++ b/packages/almondrelay-gateway/src/process/organisations/allowances.ts
@@ -134,7 +134,7 @@
       const known = counter.estimateZoneUsage(now)
       if (nearLimit.has(hash) || this.isNearLimit(known, limit, hosts)) usageByOrganisation.set(hash, known)
     }
-    return { hosts, unseenMs: this.computeUnseenMs(now), usageByOrganisation: usageByOrganisation }
+    return { hosts, unseenMs: this.computeUnseenMs(now), usageByOrganisation }
   }
 
   /**
@@ -147,7 +147,7 @@
   }
 
   private buildInput (hash: number, limit: number, counter: OrganisationUsage, now: number): AllowanceInput {
-    const { hosts, unseenMs, usageByOrganisation: usageByOrganisation } = this.computeFleetUsage(counter, hash, now)
+    const { hosts, unseenMs, usageByOrganisation } = this.computeFleetUsage(counter, hash, now)
     const { letThrough: used, leavingPerSecond, askedPerSecond } = usageByOrganisation.get(hash) ?? NO_USAGE
     // Requests may have been admitted at the full rate before this host received reports: when all hosts restart at the peak of a
     // surge, none knows the requests that it admitted before and that are still in the window. They are assumed to leave the window at
@@ -225,7 +225,7 @@
   /** Finds the organisations that another zone reports as near their limit. All zones then report their usage of these organisations. */
   private findNearLimit (now: number): Set<number> {
     const nearLimit = new Set<number>()
-    for (const { use: { hosts, usageByOrganisation: usageByOrganisation } } of this.listRecentSnapshots(now)) {
+    for (const { use: { hosts, usageByOrganisation } } of this.listRecentSnapshots(now)) {
       for (const [hash, known] of usageByOrganisation) if (this.isNearLimit(known, this.limits.get(hash) ?? Infinity, hosts)) nearLimit.add(hash)
     }
     return nearLimit
--- a/packages/almondrelay-gateway/src/process/organisations/encodeUsageReport.ts
+++ b/packages/almondrelay-gateway/src/process/organisations/encodeUsageReport.ts
@@ -22,7 +22,7 @@
   })
 }
 
-const encodeZoneUsage = ({ hosts, unseenMs, usageByOrganisation: usageByOrganisation }: ZoneUsage): MessageInitShape<typeof ZoneUseSchema> => ({
+const encodeZoneUsage = ({ hosts, unseenMs, usageByOrganisation }: ZoneUsage): MessageInitShape<typeof ZoneUseSchema> => ({
   hosts: Math.floor(hosts),
   unseenMs: Math.round(unseenMs),
   organisationHashes: [...usageByOrganisation.keys()],
--- a/packages/almondrelay-gateway/src/process/organisations/peerTotals.ts
+++ b/packages/almondrelay-gateway/src/process/organisations/peerTotals.ts
@@ -42,7 +42,7 @@
   /** Returns the number of hosts whose last report is at most `silenceMs` old. */
   countRecentPeers (now: number, silenceMs: number): number {
     let count = 0
-    for (const { receivedAt: receivedAt } of this.peers.values()) if (now - receivedAt <= silenceMs) count += 1
+    for (const { receivedAt } of this.peers.values()) if (now - receivedAt <= silenceMs) count += 1
     return count
   }
 
--- a/packages/almondrelay-gateway/src/process/organisations/sumZoneUsage.ts
+++ b/packages/almondrelay-gateway/src/process/organisations/sumZoneUsage.ts
@@ -34,7 +34,7 @@
     }
   }
   const usageByOrganisation = new Map([...sums].map(([organisation, sum]) => [organisation, addEstimateSince(sum, askedSince.get(organisation) ?? 0, leftSince.get(organisation) ?? 0, findRate(organisation))]))
-  return { hosts, unseenMs: unseenHostMs / Math.max(1, reportedHosts), usageByOrganisation: usageByOrganisation }
+  return { hosts, unseenMs: unseenHostMs / Math.max(1, reportedHosts), usageByOrganisation }
 }
 
 /** Returns the share of a zone's hosts that counts as known, which falls from 1 to 0 the longer the zone's next snapshot is overdue. */
--- a/packages/almondrelay-gateway/src/process/organisations/usageSnapshots.ts
+++ b/packages/almondrelay-gateway/src/process/organisations/usageSnapshots.ts
@@ -26,7 +26,7 @@
 
   /** Returns the last known usage; undefined if no snapshot was received within SILENCE_MS. */
   find (now: number): UsageSnapshot | undefined {
-    const fresh = [...this.lastReceived.values()].filter(({ receivedAt: receivedAt }) => now - receivedAt <= SILENCE_MS)
+    const fresh = [...this.lastReceived.values()].filter(({ receivedAt }) => now - receivedAt <= SILENCE_MS)
     const unseenMs = Math.min(...fresh.map(({ use }) => use.unseenMs))
     const [latest, ...others] = fresh.filter(({ use }) => use.unseenMs === unseenMs).sort((one, other) => other.receivedAt - one.receivedAt)
     if (latest === undefined) return undefined
@@ -40,5 +40,5 @@
     const known = usageByOrganisation.get(organisation)
     if (known === undefined || known.letThrough < use.letThrough) usageByOrganisation.set(organisation, { ...use, askedPerSecond: known?.askedPerSecond ?? use.askedPerSecond })
   }
-  return { hosts: Math.max(latest.hosts, other.hosts), unseenMs: latest.unseenMs, usageByOrganisation: usageByOrganisation }
+  return { hosts: Math.max(latest.hosts, other.hosts), unseenMs: latest.unseenMs, usageByOrganisation }
 }
--- a/packages/almondrelay-gateway/src/process/peers/peerExchange.ts
+++ b/packages/almondrelay-gateway/src/process/peers/peerExchange.ts
@@ -78,7 +78,7 @@
    * @param ip address from which the report was sent
    */
   handleReport (report: PeerReport, ip: string): void {
-    const { own, fleet, view, getNow, receiveRevision: receiveRevision } = this.parts
+    const { own, fleet, view, getNow, receiveRevision } = this.parts
     if (report.host === own.name) return
     const now = getNow()
     const isWatcher = report.region === own.region && view.isReportFromWatcher(report, ip, now)
--- a/packages/almondrelay-gateway/src/process/peers/peerView.ts
+++ b/packages/almondrelay-gateway/src/process/peers/peerView.ts
@@ -78,7 +78,7 @@
 
   /** Returns the demands of the other hosts of this region, and those of each other region as a whole. */
   listDemands (now: number): RegionDemand[] {
-    const isFresh = ({ receivedAt: receivedAt }: { receivedAt: number }): boolean => now - receivedAt <= DEMAND_MAX_AGE_MS
+    const isFresh = ({ receivedAt }: { receivedAt: number }): boolean => now - receivedAt <= DEMAND_MAX_AGE_MS
     const regionPeers = [...this.peers.values()].filter((peer) => isFresh(peer) && peer.report.region === this.own.region)
     const otherRegions = [...this.regions].filter(([region, regionReport]) => isFresh(regionReport) && region !== this.own.region)
     return [
@@ -195,7 +195,7 @@
    * its own address or that of a host of this region, which may have forwarded it.
    */
   isReportFromWatcher ({ host, incarnation }: PeerReport, ip: string, now: number): boolean {
-    const { representatives: representatives, regionAddresses: regionAddresses } = this.live.findLists(now)
+    const { representatives, regionAddresses } = this.live.findLists(now)
     return representatives.includes(host) && this.fleet.findHost(host)?.incarnation === incarnation && regionAddresses.has(ip)
   }
 
--- a/packages/almondrelay-gateway/src/process/quarantine/__fixtures__/quarantineFleet.ts
+++ b/packages/almondrelay-gateway/src/process/quarantine/__fixtures__/quarantineFleet.ts
@@ -251,7 +251,7 @@
   }
 
   private finish (sending: Sending): void {
-    const { target, incarnation: incarnation, host, gate, url } = sending
+    const { target, incarnation, host, gate, url } = sending
     if (!target.running.delete(sending)) return
     if (url === POISON) {
       this.ends.push(this.now)
@@ -271,7 +271,7 @@
     for (const sending of lost) this.handleLoss(sending)
   }
 
-  private handleLoss ({ host, gate, incarnation: incarnation, url, sends }: Sending): void {
+  private handleLoss ({ host, gate, incarnation, url, sends }: Sending): void {
     const { quarantine } = host
     this.schedule(ONE_WAY_LATENCY_MS, () => {
       if (this.options.isDown?.(host.index, this.now) === true || host.quarantine !== quarantine) return
--- a/packages/almondrelay-gateway/src/process/quarantine/suspectExchange.ts
+++ b/packages/almondrelay-gateway/src/process/quarantine/suspectExchange.ts
@@ -49,7 +49,7 @@
 
   /** Handles a report. It counts only from the sender's current incarnation and address, because it decides which callers are refused. */
   handleReport (report: SuspectReport, ip: string): void {
-    const { view, receiveState: receiveState, getNow } = this.parts
+    const { view, receiveState, getNow } = this.parts
     if (view.findSender(report, ip) === undefined) return
     const now = getNow()
     const newStates = report.suspects.filter((state) => receiveState(state, now))
--- a/packages/almondrelay-gateway/src/process/quarantine/suspectStore.ts
+++ b/packages/almondrelay-gateway/src/process/quarantine/suspectStore.ts
@@ -97,7 +97,7 @@
 
   /** Replaces the known record in the store. If another host was first, adopts the record that it wrote. */
   private async commit (suspect: Suspect, record: SuspectRecord, signal: AbortSignal): Promise<CommitOutcome> {
-    const { store, codec, adoptRecord: adoptRecord } = this.parts
+    const { store, codec, adoptRecord } = this.parts
     const { key, value } = codec.encodeSuspect(record)
     const leaseId = await store.grantLease(RECORD_LEASE_MS, signal)
     const result = await store.commit({ expected: [{ key, revision: suspect.recordRevision ?? 0 }], writes: [{ key, value, leaseId }], deletes: [] }, signal)
--- a/packages/almondrelay-gateway/src/request/chooseTarget.ts
+++ b/packages/almondrelay-gateway/src/request/chooseTarget.ts
@@ -104,7 +104,7 @@
   const failureShare = Math.min(0.95, target.getFailureShare(now))
   const failureMs = failureShare / (1 - failureShare) * FAILURE_COST * context.targetLatencyMs
   const laterCostMs = estimateLaterCost(isWarmWork, rank, outstanding / target.entry.slots, coldMs - warmMs)
-  return { target, expectedMs: roundTripMs + waitMs + workMs, costMs: roundTripMs + waitMs + workMs + failureMs + laterCostMs, workMs, waitMs, roundTripMs: roundTripMs, rank, outstanding, isCached: isCached }
+  return { target, expectedMs: roundTripMs + waitMs + workMs, costMs: roundTripMs + waitMs + workMs + failureMs + laterCostMs, workMs, waitMs, roundTripMs, rank, outstanding, isCached }
 }
 
 /**
--- a/packages/almondrelay-gateway/src/request/coldAllowance.ts
+++ b/packages/almondrelay-gateway/src/request/coldAllowance.ts
@@ -42,7 +42,7 @@
     const known = this.senderByTarget.get(id)
     if (known?.hosts === hosts) return known.isSender
     const isSender = this.computeIsSender(target, hosts)
-    this.senderByTarget.set(id, { hosts, isSender: isSender })
+    this.senderByTarget.set(id, { hosts, isSender })
     return isSender
   }
 
--- a/packages/almondrelay-gateway/src/request/computeAdmittedShare.ts
+++ b/packages/almondrelay-gateway/src/request/computeAdmittedShare.ts
@@ -28,7 +28,7 @@
  * A host that doesn't receive the reports of all others keeps to a share of the limit: the share of all hosts that it knows.
  * Otherwise the two sides of a partition would each admit the whole limit, and together twice as much.
  */
-export function computeAdmittedShare ({ limit, admitted: admitted, leavingPerSecond, askedPerSecond, knownHostShare: knownHostShare }: AllowanceInput): number {
+export function computeAdmittedShare ({ limit, admitted, leavingPerSecond, askedPerSecond, knownHostShare }: AllowanceInput): number {
   const reducedLimit = limit - Math.max(0, limit * RESERVE_SHARE - RESERVE_REDUCTION_REQUESTS)
   const room = reducedLimit * knownHostShare - admitted + leavingPerSecond * REPORT_DELAY_S
   if (room <= 0) return 0
--- a/packages/almondrelay-gateway/src/request/computeRegionShares.ts
+++ b/packages/almondrelay-gateway/src/request/computeRegionShares.ts
@@ -38,7 +38,7 @@
  * Where the round trip is short, current shares are kept as long as the regions can bear them: a key that moves home saves a
  * round trip, but its object is worked on from scratch, which takes far longer.
  */
-export function computeRegionShares ({ ownRegion: ownRegion, loads, roundTripRatio: roundTripRatio, currentShares: currentShares }: PlanInput): Map<string, number> {
+export function computeRegionShares ({ ownRegion, loads, roundTripRatio, currentShares }: PlanInput): Map<string, number> {
   const slots = loads.reduce((sum, each) => sum + each.slots, 0)
   const busy = loads.reduce((sum, each) => sum + each.busySlots, 0)
   const distanceUsage = NEAR_MAX_USAGE + (FAR_MAX_USAGE - NEAR_MAX_USAGE) * Math.min(1, roundTripRatio / FAR_ROUND_TRIP_RATIO)
--- a/packages/almondrelay-gateway/src/request/decideAdmission.ts
+++ b/packages/almondrelay-gateway/src/request/decideAdmission.ts
@@ -20,7 +20,7 @@
  * the time after which there will be room. A request that would be late even without a queue is served only where it hardly has
  * to wait: its answer still has some value, and its object is cached from then on.
  */
-export function decideAdmission ({ choice, targetLatencyMs, elapsedMs, remainingMs: remainingMs }: AdmissionInput): number {
+export function decideAdmission ({ choice, targetLatencyMs, elapsedMs, remainingMs }: AdmissionInput): number {
   const slackMs = (targetLatencyMs - elapsedMs - choice.roundTripMs - choice.workMs) * USABLE_SLACK_SHARE
   const maxWaitMs = Math.min(remainingMs, Math.max(slackMs, choice.workMs * MIN_WAIT_WORK_RATIO))
   return choice.waitMs <= maxWaitMs ? 0 : Math.max(MIN_RETRY_AFTER_MS, choice.waitMs - maxWaitMs)
--- a/packages/almondrelay-gateway/src/request/planDeclaredShares.ts
+++ b/packages/almondrelay-gateway/src/request/planDeclaredShares.ts
@@ -21,7 +21,7 @@
  * Computes the shares of a region's requests for one service under what operators declared: their weights take precedence over
  * the load, a drained region gets nothing, and what exceeds a cap stays in the region.
  */
-export function planDeclaredShares ({ service, ownRegion, regions, sharesByLoad: sharesByLoad, steering, ownBusySlots }: DeclaredPlanInput): Map<string, number> {
+export function planDeclaredShares ({ service, ownRegion, regions, sharesByLoad, steering, ownBusySlots }: DeclaredPlanInput): Map<string, number> {
   const declared = steering.findWeights(service)
   const weights = declared === undefined ? sharesByLoad : new Map(Object.entries(declared.weights))
   const shares = normalizeWeights(listUndrainedWeights(weights, regions, steering))
--- a/packages/almondrelay-gateway/src/request/targetState.ts
+++ b/packages/almondrelay-gateway/src/request/targetState.ts
@@ -85,7 +85,7 @@
   /** Counts the requests at the target from this host and from all peers whose counts are recent. */
   countOutstanding (now: number): number {
     let sum = this.inFlight
-    for (const { count, receivedAt: receivedAt } of this.peerCounts.values()) {
+    for (const { count, receivedAt } of this.peerCounts.values()) {
       if (now - receivedAt <= PEER_COUNT_MAX_AGE_MS) sum += count
     }
     return sum
