--- a/packages/almondrelay/src/process/dispatch/__tests__/regionQueue.test.ts
+++ b/packages/almondrelay/src/process/dispatch/__tests__/regionQueue.test.ts
@@ -35,8 +35,8 @@
   })
 }
 
-// A request waits for a credit, and the answer with it comes so late that the credit has lapsed. The lapsed credit was
-// counted as one in hand, so no other was asked for, and the request waited until it was refused.
+// A peer's answer can arrive so late that the credit in it has already lapsed. The lapsed credit was counted as a usable
+// one, so no other was requested, and the request waited until it was refused.
 test('a credit that came too late is not counted as one in hand', async () => {
   const clock = new FakeClock()
   const regionQueue = createQueue(clock)
--- a/packages/almondrelay/src/process/dispatch/__tests__/targetRunner.test.ts
+++ b/packages/almondrelay/src/process/dispatch/__tests__/targetRunner.test.ts
@@ -43,8 +43,8 @@
   attemptId, requestId: attemptId, service: 'approvals', caller: 'c', route: 'GET /a', method: 'GET', path: '/a', headers: [], body: new Uint8Array(0), idempotent: true, deadlineAt
 })
 
-// Two callers close their browsers while they wait. Their cancelled requests were counted as failures of
-// the target, which lost its work; with one target a zone the whole zone crawled on one trial at a time.
+// Callers that closed their connections while they waited were counted as failures of the target, which then got no more
+// requests. With one target in a zone, the whole zone was limited to one trial request at a time.
 test('a caller that goes away does not count against the target', async () => {
   const { clock, capacity, runtime, runner } = createParts()
   for (const id of ['a', 'b', 'c']) {
@@ -59,8 +59,8 @@
   assert.ok(runtime.chooser.countReady(clock.getNow()) > 0)
 })
 
-// A caller goes away, and the target needs a moment to see the closed connection. Were its slot free at
-// once, the target would run one request more than its slots.
+// When a caller disconnects, the target needs a moment to notice the closed connection. If the slot were released at
+// once, the target would run one request more than it has slots.
 test('a slot whose answer was given up on stays taken while the target may still work', async () => {
   const { clock, capacity, runtime, runner } = createParts()
   capacity.acquire('approvals', 't', 'a', 5_000, 0)
@@ -74,8 +74,8 @@
   assert.is(capacity.countFree('approvals', clock.getNow()), 2)
 })
 
-// The process was stopped after admission and wakes past the deadline. Sending now would run what its
-// caller may have been told is over.
+// The process is suspended after admission and resumes after the deadline. Sending the attempt then would run a request
+// whose caller may already have been told that it failed.
 test('an attempt whose deadline has passed is not sent', async () => {
   const { clock, capacity, runtime, runner } = createParts()
   capacity.acquire('approvals', 't', 'a', 100, 0)
@@ -85,8 +85,8 @@
   assert.is(capacity.countFree('approvals', clock.getNow()), 2)
 })
 
-// A target is taken out of the configuration between a request's slot and its sending. The slot has to come back, or
-// the target starts with one less when it is put in again.
+// A target is removed from the configuration after a request has acquired its slot and before the request is sent. The
+// slot has to be released, or the target has one slot less when it is added again.
 test('the slot of a target that was removed meanwhile comes back', async () => {
   const { clock, capacity, runtime, runner } = createParts()
   capacity.acquire('approvals', 't', 'a', 5_000, 0)
--- a/packages/almondrelay/src/process/dispatch/answerRecorder.ts
+++ b/packages/almondrelay/src/process/dispatch/answerRecorder.ts
@@ -6,9 +6,9 @@
   id: string
 }
 
-/** Takes note of every final answer, for the account, the metrics and the log. */
+/** Records every final answer in the account, the metrics and the log. */
 export abstract class AnswerRecorder {
-  /** Monotonic milliseconds, to be passed to `finish`. */
+  /** Returns the start time of a request, in monotonic milliseconds, to be passed to `finish`. */
   abstract begin (): number
   abstract finish (startedAt: number, request: AnsweredRequest, answer: Answer): void
 }
--- a/packages/almondrelay/src/process/dispatch/createDeadlineSignal.ts
+++ b/packages/almondrelay/src/process/dispatch/createDeadlineSignal.ts
@@ -2,15 +2,15 @@
 
 interface DeadlineSignal {
   signal: AbortSignal
-  /** Ends the timer; call it once the work is done. */
+  /** Stops the timer and detaches from the parent; to be called when the work is done. */
   clear: () => void
 }
 
-/** Made once: an abort without a reason makes an error with a stack each time. */
+/** Abort reasons, shared by all signals: an abort without a reason would create an error with a stack trace each time. */
 const PASSED = new Error('the deadline has passed')
 const CANCELLED = new Error('cancelled')
 
-/** A signal that aborts at a monotonic time, or with its parent. */
+/** Creates a signal that aborts at `deadlineAt` (monotonic milliseconds), or earlier together with `parent`. */
 export function createDeadlineSignal (clock: Clock, deadlineAt: number, parent?: AbortSignal): DeadlineSignal {
   const deadline = new AbortController()
   const timer = new AbortController()
--- a/packages/almondrelay/src/process/dispatch/creditGrant.ts
+++ b/packages/almondrelay/src/process/dispatch/creditGrant.ts
@@ -1,7 +1,7 @@
 import type { RefusalReason } from '../../request/refusalReason.js'
 import type { Credit } from '../limits/credit.js'
 
-/** Credits granted, and which limit kept the rest back where one did. */
+/** Granted credits and, if fewer than wanted were granted because of a limit, that limit. */
 export interface CreditGrant {
   credits: Credit[]
   reason?: RefusalReason
--- a/packages/almondrelay/src/process/dispatch/creditTask.ts
+++ b/packages/almondrelay/src/process/dispatch/creditTask.ts
@@ -14,19 +14,22 @@
   directory: HostDirectory
   links: PeerLinks
   sender: PeerSender
-  /** Peers to ask for a queue's credits, best first. */
+  /** Lists the peers to ask for credits, best first. */
   rankPeers: (regionQueue: RegionQueue, now: number) => KnownHost[]
   signal: AbortSignal
 }
 
-/** Longest wait for one answer about credits, in milliseconds: nearly three round trips between the farthest regions (110 ms). */
+/** Timeout of one call about credits, in milliseconds: nearly three round trips between the farthest regions (110 ms). */
 const CREDIT_TIMEOUT_MS = 300
 const MAX_BATCH = 32
-/** Pause after every peer was asked in vain, in milliseconds; a fresh slot is worth a round trip, not a storm. */
+/**
+ * Bounds of the delay after no peer granted a credit, in milliseconds. The delay starts short, so that a newly freed slot
+ * is used soon, and doubles, so that peers without free slots aren't flooded with calls.
+ */
 const MIN_PAUSE_MS = 20
 const MAX_PAUSE_MS = 500
 
-/** Fetches credits for a queue while requests wait in it; one task a queue. */
+/** Requests credits from peers while requests wait in a queue; each queue has one task. */
 export class CreditTask {
   private wakeUp: (() => void) | undefined
 
@@ -58,7 +61,7 @@
     for (const host of new Set(credits.map((credit) => credit.host))) {
       const peer = directory.find(host)
       const creditIds = credits.filter((credit) => credit.host === host).map((credit) => credit.id)
-      // A lost return is harmless: the credit lapses at its owner.
+      // A failed call is harmless: the credit lapses on the host that granted it.
       if (peer !== undefined) await links.get(peer.peerAddress).returnCredits({ sender, creditIds }, { signal, timeoutMs: CREDIT_TIMEOUT_MS }).catch(() => undefined)
     }
   }
@@ -76,7 +79,7 @@
 
   private async askPeer (peer: KnownHost, wanted: number): Promise<number> {
     const { clock, links, sender, signal } = this.parts
-    // The validity counts from before the request left, so that a slow answer can't stretch it.
+    // The validity counts from before the call was sent, so that a slow answer doesn't extend it.
     const sentAt = clock.getNow()
     try {
       const response = await links.get(peer.peerAddress).requestCredits({ sender, service: this.regionQueue.service, wanted }, { signal, timeoutMs: CREDIT_TIMEOUT_MS })
@@ -92,9 +95,10 @@
   }
 
   /**
-   * Failure: the connection is silent for good, and every request here waits for credits until pings find it,
-   * longer than a request may wait in the queue. An answer about credits needs no target, so one that
-   * doesn't come is taken for that: the connection is dropped. Attempts that were on it are fenced.
+   * Records a refused connection, and drops a connection after a timeout. A dead connection is otherwise detected only by
+   * pings, which takes longer than a request may wait in the queue, and all requests would wait for credits meanwhile. A
+   * peer needs no target to answer a call about credits, so a timeout indicates a dead connection. Attempts that were sent
+   * on the connection are fenced.
    */
   private observeError (peer: KnownHost, error: unknown): void {
     if (isConnectionRefused(error)) this.parts.directory.observeRefused(peer.name, peer.incarnation)
--- a/packages/almondrelay/src/process/dispatch/decisionModules.ts
+++ b/packages/almondrelay/src/process/dispatch/decisionModules.ts
@@ -6,7 +6,7 @@
 import type { LookupAnswer } from '../../version/weights/lookupAnswer.js'
 import type { LookupInput } from '../../version/weights/lookupInput.js'
 
-/** The decision modules as a host uses them: plain, or with every call recorded for replay. */
+/** The decision modules that a host calls: either directly, or with every call recorded for replay. */
 export abstract class DecisionModules {
   abstract createQueue (service: string, region: string, options: Partial<AdmissionOptions>): AdmissionQueue
   abstract createChooser (service: string): TargetChooser
--- a/packages/almondrelay/src/process/dispatch/heldCredit.ts
+++ b/packages/almondrelay/src/process/dispatch/heldCredit.ts
@@ -1,8 +1,8 @@
-/** The right to run one request on a target that a peer owns. */
+/** A credit that a peer has granted this host: the right to run one request on a target that the peer owns. */
 export interface HeldCredit {
   id: string
   host: string
   target: string
-  /** Monotonic milliseconds of this host, counted from the sending of the request for it. */
+  /** Expiry on this host's monotonic clock, in milliseconds; the validity counts from when the credit was requested. */
   expiresAt: number
 }
--- a/packages/almondrelay/src/process/dispatch/homeRelay.ts
+++ b/packages/almondrelay/src/process/dispatch/homeRelay.ts
@@ -20,14 +20,15 @@
   sender: PeerSender
 }
 
+/** Delay between a failed call to the home and the next one, in milliseconds. */
 const RELAY_PAUSE_MS = 100
-/** Longest wait for a home that doesn't answer, in milliseconds; then the caller is told `unknown` and may ask again. */
+/** How long failed calls to the home are retried, in milliseconds; after that, the caller gets `unknown` and may try again. */
 const SILENT_HOME_MS = 3_000
 
 /**
- * Passes a non-idempotent request on to its home, which alone may start it. Passing it twice is
- * harmless: the home's journal joins the copies. Where the home has ended, or can't be asked, the
- * outcome is `unknown` at once, and nothing is run here.
+ * Relays a non-idempotent request to its home, the only host that may start it. Relaying the request twice is
+ * harmless, because the home's journal joins the copies. If the home's process has ended or the home isn't known,
+ * the outcome is `unknown` at once, and nothing is run on this host.
  */
 export class HomeRelay {
   constructor (private readonly parts: HomeRelayParts) {}
--- a/packages/almondrelay/src/process/dispatch/hostCapacity.ts
+++ b/packages/almondrelay/src/process/dispatch/hostCapacity.ts
@@ -10,13 +10,13 @@
   region: string
   slots: HostSlots
   limits: RegionLimits
-  /** Called when requests wait for room. */
+  /** Called when requests wait for capacity, so that it is borrowed. */
   wakeLoans: () => void
 }
 
 /**
- * What this host may start: a slot of a target and room in every limit of its region, taken and
- * given back together, so that neither is ever held without the other.
+ * Capacity of this host to start requests. A request needs a slot of a target and capacity in every limit of the
+ * region; both are acquired and released together, so that neither is ever held without the other.
  */
 export class HostCapacity extends SlotPool {
   private lastReason: RefusalReason | undefined
@@ -25,7 +25,7 @@
     super()
   }
 
-  /** The limit that refused last; a caller that finds no room is told of it. */
+  /** Limit that refused the last attempt to take a slot; it is the reason given to a caller that gets no slot. */
   override get shortage (): RefusalReason | undefined {
     return this.lastReason
   }
--- a/packages/almondrelay/src/process/dispatch/hostDirectory.ts
+++ b/packages/almondrelay/src/process/dispatch/hostDirectory.ts
@@ -1,9 +1,9 @@
 import type { KnownHost } from './knownHost.js'
 
-/** The entry hosts that this host knows, itself among them. */
+/** The entry hosts that this host knows, including itself. */
 export abstract class HostDirectory {
   abstract find (name: string): KnownHost | undefined
   abstract list (): KnownHost[]
-  /** Takes note that nothing listens on the host's address any more: its process has ended. */
+  /** Records that the host's address refused a connection: nothing listens there, so that incarnation has ended. */
   abstract observeRefused (name: string, incarnation: number): void
 }
--- a/packages/almondrelay/src/process/dispatch/hostIdentity.ts
+++ b/packages/almondrelay/src/process/dispatch/hostIdentity.ts
@@ -1,7 +1,7 @@
-/** Who this process is. */
+/** Identity and location of this process. */
 export interface HostIdentity {
   host: string
-  /** Milliseconds since the Unix epoch at which the process began. */
+  /** Start time of the process, in milliseconds since the Unix epoch. */
   incarnation: number
   region: string
   availabilityZone: string
--- a/packages/almondrelay/src/process/dispatch/isConnectionRefused.ts
+++ b/packages/almondrelay/src/process/dispatch/isConnectionRefused.ts
@@ -1,8 +1,9 @@
+/** Maximum number of nested causes that are examined. */
 const MAX_DEPTH = 8
 
 /**
- * Whether an error, or a cause under it, says that the address refused the connection. A reset, a
- * time-out or a closed session doesn't say so: a live process may be behind each of them.
+ * Returns whether an error, or one of its nested causes, is a refused connection (ECONNREFUSED). Resets, timeouts and
+ * closed sessions don't count, because the process at the address may still be running.
  */
 export function isConnectionRefused (error: unknown): boolean {
   let cause = error
--- a/packages/almondrelay/src/process/dispatch/knownHost.ts
+++ b/packages/almondrelay/src/process/dispatch/knownHost.ts
@@ -1,4 +1,4 @@
-/** What this host knows of an entry host, as far as dispatching a request needs it. */
+/** Last known state of an entry host, as far as request dispatch needs it. */
 export interface KnownHost {
   name: string
   incarnation: number
@@ -6,16 +6,16 @@
   availabilityZone: string
   callerAddress: string
   peerAddress: string
-  /** It announced its planned stop. */
+  /** The host has announced its planned stop. */
   leaving: boolean
-  /** It was heard of lately; false only stops new work to it. */
+  /** A report of the host was received recently; if false, no new requests are sent to the host. */
   reachable: boolean
-  /** Definitive evidence says that this incarnation has ended. */
+  /** There is definitive evidence that this incarnation has ended. */
   gone: boolean
-  /** Free slots by service, as it last counted them. */
+  /** Free slots by service, as last reported by the host. */
   freeSlots: ReadonlyMap<string, number>
-  /** Slots that it may use by service, free or not. */
+  /** Slots by service that the host may use, free or occupied. */
   slots: ReadonlyMap<string, number>
-  /** Age of what it last told, in milliseconds. */
+  /** Age of the last report of the host, in milliseconds. */
   ageMs: number
 }
--- a/packages/almondrelay/src/process/dispatch/makeSender.ts
+++ b/packages/almondrelay/src/process/dispatch/makeSender.ts
@@ -2,7 +2,7 @@
 import { PROTOCOL_VERSION } from './protocolVersion.js'
 import type { PeerSender } from './peerSender.js'
 
-/** How this host names itself in messages to peers. */
+/** Builds the sender field of messages from this host to peers. */
 export function makeSender (identity: HostIdentity): PeerSender {
   return { ...identity, incarnation: BigInt(identity.incarnation), protocolVersion: PROTOCOL_VERSION }
 }
--- a/packages/almondrelay/src/process/dispatch/peerForwarder.ts
+++ b/packages/almondrelay/src/process/dispatch/peerForwarder.ts
@@ -20,8 +20,12 @@
   sender: PeerSender
 }
 
-/** Longest wait for an answer to one fence call, in milliseconds; shorter than a silent connection is noticed. */
+/**
+ * How long a peer waits for the attempt to end before it answers a fence call, in milliseconds; shorter than the time that
+ * the detection of a dead connection takes.
+ */
 const FENCE_WAIT_MS = 500
+/** Delay between two fence calls, in milliseconds. */
 const FENCE_PAUSE_MS = 50
 
 /** Runs attempts on targets that a peer owns. */
@@ -34,7 +38,7 @@
     if (peer === undefined) return buildNotRun(RefusalReason.noCredit, `host ${credit.host} is no longer known: try again`)
     const now = clock.getNow()
     if (now >= attempt.deadlineAt) return buildNotRun(RefusalReason.deadlinePassed, 'the deadline passed before the request was sent: allow more time')
-    // Failure: this process was stopped with a credit in hand, and its slot is granted to another by now.
+    // If this process was suspended while it held the credit, the slot may have been granted to another host.
     if (now >= credit.expiresAt) return buildNotRun(RefusalReason.noCredit, 'the credit lapsed before the request was sent: try again')
     try {
       const response = await links.get(peer.peerAddress).forward(this.buildRequest(attempt, credit, now), { signal })
@@ -51,9 +55,9 @@
   }
 
   /**
-   * Failure: the connection to the peer is lost after the request was sent, and nobody here knows
-   * whether it started. Fencing on a new connection makes the peer promise that it never will, or
-   * bring its answer. Only when the peer can't be asked before the deadline is the outcome unknown.
+   * Fences an attempt after the connection to the peer was lost, when this host can't tell whether the attempt started.
+   * The peer, called on a new connection, either ensures that the attempt never starts or returns its answer. The
+   * outcome is unknown only if the peer's process has ended or the peer gives no such answer before the deadline.
    */
   private async fence (attempt: Attempt, peer: KnownHost, signal: AbortSignal): Promise<AttemptResult> {
     const { clock, links, directory } = this.parts
--- a/packages/almondrelay/src/process/dispatch/peerLinks.ts
+++ b/packages/almondrelay/src/process/dispatch/peerLinks.ts
@@ -6,12 +6,12 @@
   close: () => void
 }
 
-/** Clients for peers, by address. */
+/** Connections to peers, by address. */
 export abstract class PeerLinks {
-  /** The connection in use, opened at need. */
+  /** Returns the shared connection, opening it if necessary. */
   abstract get (address: string): Client<typeof PeerService>
-  /** A new connection, for asking after one in use was lost; close it after use. */
+  /** Opens a separate connection, for calls made after the shared one was lost; the caller closes it. */
   abstract open (address: string): PeerLink
-  /** Ends the connection in use; the next `get` opens a new one. */
+  /** Closes the shared connection; the next `get` opens a new one. */
   abstract drop (address: string): void
 }
--- a/packages/almondrelay/src/process/dispatch/peerRequests.ts
+++ b/packages/almondrelay/src/process/dispatch/peerRequests.ts
@@ -38,7 +38,7 @@
   answer?: Answer
 }
 
-/** Answers what peers ask for requests: credits, forwarded attempts, fences, and requests of which this host is the home. */
+/** Answers the calls of peers that concern requests: for credits, forwarded attempts, fences, and requests whose home is this host. */
 export class PeerRequests {
   private readonly running = new Map<string, Promise<Answer>>()
 
@@ -49,7 +49,7 @@
     const now = clock.getNow()
     const runtime = services.find(request.service)
     if (runtime === undefined) return { credits: [], validMs: 0, reason: RefusalReason.unknownService }
-    // Own callers that wait come first; a sender that gets nothing asks elsewhere.
+    // Waiting requests of this host's own callers take precedence; a peer that is granted no credit asks another host.
     const isBusy = [...runtime.queues.values()].some((regionQueue) => regionQueue.region === this.parts.identity.region && regionQueue.countWaiting() > 0)
     const sender = { host: request.sender?.host ?? '', region: request.sender?.region ?? '' }
     const isUsable = (target: string): boolean => runtime.chooser.allow(target, now)
@@ -77,8 +77,8 @@
 
   async fence (request: FenceRequest, signal: AbortSignal): Promise<FenceAnswer> {
     const { attempts, clock, identity } = this.parts
-    // Failure: this process began after the one that the attempt was sent to ended. Its own table is
-    // empty, but the attempt may have run there; only the incarnation tells.
+    // The attempt was sent to an earlier incarnation of this host, and may have run there. The attempt table of this
+    // incarnation doesn't know the attempt, so only the comparison of incarnations prevents a wrong `not-run`.
     if (Number(request.receiverIncarnation) !== identity.incarnation) return { state: 'gone' }
     const state = attempts.fence(request.attemptId, clock.getNow())
     if (state.kind === 'fenced') return { state: 'not-run' }
@@ -94,7 +94,7 @@
     const raw = { method: request.method, service: request.service, path: request.path, headers: request.headers, body: request.body }
     const parsed = parseCallerRequest(raw, runtime.spec, { maxDeadlineMs }, () => '')
     if ('refusal' in parsed) return parsed.refusal
-    // Failure: two hosts pass a request to and fro because they differ on who is its home.
+    // Prevents two hosts that disagree about the request's home from relaying the request to each other endlessly.
     if (parsed.request.home?.host !== this.parts.identity.host) throw new ConnectError('this host is not the home of the request', Code.InvalidArgument)
     return await handler.handle({ ...parsed.request, deadlineMs: request.deadlineMs }, runtime, signal)
   }
--- a/packages/almondrelay/src/process/dispatch/peerSender.ts
+++ b/packages/almondrelay/src/process/dispatch/peerSender.ts
@@ -1,4 +1,4 @@
 import type { Sender } from 'almondrelay-protocol'
 
-/** How a host names itself in messages to peers. */
+/** Identity of the sending host, as contained in each message to a peer. */
 export type PeerSender = Pick<Sender, 'host' | 'incarnation' | 'availabilityZone' | 'region' | 'protocolVersion'>
--- a/packages/almondrelay/src/process/dispatch/protocolVersion.ts
+++ b/packages/almondrelay/src/process/dispatch/protocolVersion.ts
@@ -1,2 +1,2 @@
-/** Version of the messages between hosts that this build speaks. */
+/** Version of the protocol between hosts that this build implements. */
 export const PROTOCOL_VERSION = 1
--- a/packages/almondrelay/src/process/dispatch/queueRefusal.ts
+++ b/packages/almondrelay/src/process/dispatch/queueRefusal.ts
@@ -1,6 +1,6 @@
 import type { RefusalReason } from '../../request/refusalReason.js'
 
-/** Why a request gets no slot. */
+/** Refusal of a request that gets no slot. */
 export interface QueueRefusal {
   kind: 'refused'
   reason: RefusalReason
--- a/packages/almondrelay/src/process/dispatch/rankCreditPeers.ts
+++ b/packages/almondrelay/src/process/dispatch/rankCreditPeers.ts
@@ -6,7 +6,7 @@
 
 interface RankInput {
   service: string
-  /** Region that is to serve the work. */
+  /** Region whose targets are to serve the requests. */
   region: string
   identity: HostIdentity
   hosts: KnownHost[]
@@ -14,14 +14,15 @@
   random: Random
 }
 
-/** Peers asked in one round: each costs a round trip, and a caller waits meanwhile. */
+/** Maximum number of peers asked in one round; each takes a round trip while a caller waits. */
 const MAX_PEERS = 4
+/** Latency assumed for a region to which no link is configured, in milliseconds. */
 const UNKNOWN_LATENCY_MS = 200
 
 /**
- * Peers to ask for credits, best first: the own zone, the serving region, then, for work of the own
- * region that its policy lets spill, other regions by latency. Equal peers are shuffled by their
- * free slots, so that hosts with one picture don't all ask the same peer.
+ * Ranks the peers to ask for credits, best first: those in the own zone, then those in the serving region, then those
+ * in other regions by latency, if the requests are for the own region and its policy allows spill. Peers of equal cost
+ * are ordered randomly, weighted by their free slots, so that hosts with the same state don't all ask the same peer.
  */
 export function rankCreditPeers (input: RankInput): KnownHost[] {
   const { identity, region, hosts, random } = input
--- a/packages/almondrelay/src/process/dispatch/regionQueue.ts
+++ b/packages/almondrelay/src/process/dispatch/regionQueue.ts
@@ -13,40 +13,42 @@
 
 interface RegionQueueParts {
   service: string
-  /** Region that serves what is queued here. */
+  /** Region whose targets serve the queued requests. */
   region: string
   queue: AdmissionQueue
   chooser: TargetChooser
   slots: SlotPool
-  /** Slots of this host's own targets count here; false in a queue for another region. */
+  /** Whether slots of this host's own targets may be used; false in a queue for another region. */
   usesOwnSlots: boolean
   clock: Clock
   random: Random
   recorder: DecisionRecorder
-  /** Free slots that peers last reported and might grant as credits. */
+  /** Returns the number of free slots that peers last reported and might grant as credits. */
   estimateCredits: () => number
-  /** Called when requests wait for which there is neither a slot nor a credit. */
+  /** Called when requests wait for which there is neither a free slot nor a credit. */
   wakeCreditTask: () => void
-  /** Called with a credit that nobody needs any more. */
+  /** Called with credits that no waiting request needs. */
   returnCredits: (credits: HeldCredit[]) => void
   signal: AbortSignal
 }
 
 interface WaitingRequest {
   request: QueuedRequest
-  /** The caller's id of the request; `request.id` names the attempt. */
+  /** Id that the caller gave the request; `request.id` identifies the attempt. */
   requestId: string
+  /** Targets that earlier attempts of the request used; they are chosen only if no other is available. */
   excluded: ReadonlySet<string>
   resolve: (result: SlotGrant | QueueRefusal) => void
 }
 
-/** Retry-After, in milliseconds, of a request whose slot was lost to another at the last moment. */
+/** Shortest Retry-After, in milliseconds, of a request that the queue admitted but whose slot was no longer free. */
 const MIN_RETRY_MS = 100
+/** Range of the random time added to that, in milliseconds, so that such requests don't all return together. */
 const RETRY_SPREAD_MS = 400
-/** Least time between two looks at the queue, in milliseconds. */
+/** Minimum delay before a scheduled check of the queue, in milliseconds. */
 const MIN_CHECK_MS = 1
 
-/** Requests of one service that wait for slots in one region: the queue, the slots and the credits together. */
+/** Requests of one service that wait for slots in one region; combines the admission queue with the slots and credits that it can use. */
 export class RegionQueue {
   private readonly waiting = new Map<string, WaitingRequest>()
   private credits: HeldCredit[] = []
@@ -67,17 +69,17 @@
     return this.parts.queue.waiting
   }
 
-  /** Credits that would be used at once. */
+  /** Number of further credits that waiting requests could use at once. */
   countWanted (): number {
     return Math.max(0, this.parts.queue.waiting - this.countCredits(this.parts.clock.getNow()))
   }
 
-  /** Expected service time of a route, in milliseconds; undefined before one was learnt. */
+  /** Expected service time of a route, in milliseconds; undefined until one has been measured. */
   findCost (route: string): number | undefined {
     return this.parts.queue.findCost(route)
   }
 
-  /** Waits for a slot; a refusal is final for this attempt. */
+  /** Queues an attempt until it gets a slot or is refused; a refusal is final for this attempt. */
   admit (request: QueuedRequest, requestId: string, excluded: ReadonlySet<string>, signal: AbortSignal): Promise<SlotGrant | QueueRefusal> {
     const { queue, clock, recorder } = this.parts
     const now = clock.getNow()
@@ -97,7 +99,7 @@
     return result
   }
 
-  /** Takes note of an attempt's end and lets the next ones go. */
+  /** Records the end of an attempt and starts waiting requests if there are free slots. */
   finish (request: QueuedRequest, serviceTimeMs: number | undefined): void {
     const now = this.parts.clock.getNow()
     this.parts.queue.finish(request, serviceTimeMs, now)
@@ -110,12 +112,12 @@
     this.returnUnused()
   }
 
-  /** Why the last request for credits brought too few. */
+  /** Records why a peer granted no credits when last asked. */
   observeShortage (reason: RefusalReason): void {
     this.lastShortage = reason
   }
 
-  /** Hands out what is free now; called whenever slots may have become free. */
+  /** Assigns free slots and credits to waiting requests; called whenever slots may have become free. */
   advance (now: number): void {
     const { queue } = this.parts
     const free = this.countFree(now)
@@ -157,7 +159,7 @@
     return credit === undefined ? undefined : { kind: 'credit', credit }
   }
 
-  /** The queue let it start on a slot that is gone by now; the caller is told at once. */
+  /** Refuses a request that the queue admitted but for which neither a slot nor a credit could be taken. */
   private refuseForSlot (request: QueuedRequest, now: number): QueueRefusal {
     this.parts.queue.finish(request, undefined, now)
     const reason = this.parts.slots.shortage ?? RefusalReason.noTarget
@@ -172,13 +174,13 @@
     }
   }
 
-  /** Names the shortage of credits where this host has no slot of its own to wait for. */
+  /** Gives the shortage as the reason where nothing of this queue runs and no slot or credit is free. */
   private explainRefusal (reason: RefusalReason, retryAfterMs: number): QueueRefusal {
     const isStarved = this.parts.queue.running === 0 && this.countFree(this.parts.clock.getNow()) === 0
     return { kind: 'refused', reason: isStarved ? this.findShortage() : reason, retryAfterMs }
   }
 
-  /** What kept this queue from a slot: a limit of the own region, or what the peers said last. */
+  /** Why this queue gets no slot: a limit of the own region, or else the reason that a peer gave last. */
   private findShortage (): RefusalReason {
     return (this.parts.usesOwnSlots ? this.parts.slots.shortage : undefined) ?? this.lastShortage
   }
@@ -192,7 +194,7 @@
     this.returnUnused()
   }
 
-  /** Credits in hand. One that has lapsed is forgotten: counted, it would keep another from being asked for. */
+  /** Counts the held credits and discards lapsed ones: if counted, a lapsed credit would prevent the request for a new one. */
   private countCredits (now: number): number {
     this.credits = this.credits.filter((credit) => credit.expiresAt > now)
     return this.credits.length
@@ -204,7 +206,7 @@
     return credits + Math.min(this.parts.slots.countFree(this.service, now), this.parts.chooser.countReady(now))
   }
 
-  /** Slots that this queue's work may hold at once, as far as is known; peers count only where this host has none. */
+  /** Estimates how many slots the queue's requests may hold at once; free slots of peers count only where this host holds none. */
   private computeCapacity (free: number): number {
     const own = free + this.parts.queue.running
     return own > 0 ? own : this.parts.estimateCredits()
--- a/packages/almondrelay/src/process/dispatch/requestExecutor.ts
+++ b/packages/almondrelay/src/process/dispatch/requestExecutor.ts
@@ -35,19 +35,20 @@
   runtime: ServiceRuntime
   deadlineAt: number
   attempts: number
+  /** Targets of this host on which an attempt was run. */
   tried: Set<string>
-  /** An earlier attempt may have run; a later one that was not started doesn't undo that. */
+  /** Whether any attempt may have run; stays true if a later attempt is not started. */
   mayHaveRun: boolean
   signal: AbortSignal
 }
 
-/** Runs requests of which this host is the home (or that need none): queue, slot, attempt, retry, answer. */
+/** Runs requests whose home is this host, or that need no home: chooses the queue, waits for a slot, runs attempts and retries. */
 export class RequestExecutor {
   private attemptCount = 0
 
   constructor (private readonly parts: ExecutorParts) {}
 
-  /** Always resolves, with the final answer, by the deadline. */
+  /** Resolves with the final answer by the deadline, also when the request fails. */
   async execute (request: CallerRequest, runtime: ServiceRuntime, deadlineAt: number, signal: AbortSignal): Promise<Answer> {
     const deadline = createDeadlineSignal(this.parts.clock, deadlineAt, signal)
     const execution: Execution = { request, runtime, deadlineAt, attempts: 0, tried: new Set(), mayHaveRun: false, signal: deadline.signal }
@@ -124,7 +125,7 @@
     return decision.kind === 'retry'
   }
 
-  /** The queue had no place; what earlier attempts may have done decides the outcome. */
+  /** Builds the answer to a request that got no slot; the outcome depends on whether an earlier attempt may have run. */
   private answerRefusal (refusal: QueueRefusal, execution: Execution): Answer {
     const isPastDeadline = this.parts.clock.getNow() >= execution.deadlineAt
     const reason = refusal.reason === RefusalReason.cancelled && isPastDeadline ? RefusalReason.deadlinePassed : refusal.reason
@@ -147,6 +148,7 @@
   }
 }
 
+/** Retry-After, in milliseconds, for an attempt that was not run and whose failure states none. */
 const DEFAULT_RETRY_MS = 500
 
 function describeOutcome (result: Exclude<AttemptResult, { kind: 'answered' }>): AttemptOutcome {
--- a/packages/almondrelay/src/process/dispatch/requestHandler.ts
+++ b/packages/almondrelay/src/process/dispatch/requestHandler.ts
@@ -27,7 +27,7 @@
 
 type RefusedDecision = { reason: RefusalReason, retryAfterMs?: number }
 
-/** Answers checked requests: at most one run for each non-idempotent id. */
+/** Handles validated requests; a non-idempotent request is run at most once for each id. */
 export class RequestHandler {
   private readonly running = new Map<string, Promise<Answer>>()
   private inFlight = 0
@@ -38,7 +38,7 @@
     return this.inFlight
   }
 
-  /** `signal` aborts when the caller goes away; non-idempotent work then runs on, for its caller may ask again. */
+  /** `signal` aborts when the caller disconnects; a non-idempotent request then keeps running, as its caller may send it again. */
   async handle (request: CallerRequest, runtime: ServiceRuntime, signal: AbortSignal): Promise<Answer> {
     const deadlineAt = this.parts.clock.getNow() + request.deadlineMs
     this.inFlight += 1
@@ -50,7 +50,7 @@
     }
   }
 
-  /** Promises that the id will not start here, or brings what became of it. */
+  /** Ensures that the request with this id will not start on this host or, if it has started, waits for its answer. */
   async fence (request: JournalRequest, home: HomeReference, signal: AbortSignal): Promise<Answer> {
     if (!this.isHome(home)) return answerHomeGone(home)
     const decision = this.parts.journal.fence(request, this.parts.clock.getWallTime())
@@ -80,7 +80,7 @@
 
   private async begin (entry: JournalRequest, request: CallerRequest, runtime: ServiceRuntime, deadlineAt: number): Promise<Answer> {
     const { executor, journal, clock, signal } = this.parts
-    // Failure: an unforeseen error leaves the id running for ever; the caller learns that it may have run.
+    // An unexpected error must not leave the id marked as running for ever; the caller gets `unknown`, as the request may have run.
     const answer = executor.execute(request, runtime, deadlineAt, signal).catch(answerInternalError)
     this.running.set(entry.id, answer)
     const result = await answer
@@ -89,7 +89,7 @@
     return result
   }
 
-  /** Waits for the running request's answer, no longer than the repeat's own deadline. */
+  /** Waits for the answer of the running request until the deadline of the repeated one. */
   private async join (id: string, deadlineAt: number, signal: AbortSignal): Promise<Answer> {
     const running = this.running.get(id)
     if (running === undefined) return answerStillRunning()
@@ -103,10 +103,10 @@
   }
 }
 
-/** Longest wait for the answer of a request that is fenced while it runs, in milliseconds. */
+/** Timeout of the wait for the answer of a request that is already running when it is fenced, in milliseconds. */
 const FENCE_JOIN_MS = 5_000
 
-/** A new id may be sent at once. */
+/** Retry-After by refusal reason, in milliseconds; after `fenced`, the request may be sent under a new id at once. */
 const NEW_ID_RETRY_MS: Partial<Record<RefusalReason, number>> = { [RefusalReason.fenced]: 1 }
 
 const journalMessages: Partial<Record<RefusalReason, string>> = {
@@ -118,7 +118,7 @@
   [RefusalReason.journalFull]: 'the journal is full: try again later'
 }
 
-/** An id past retention may have run before it was forgotten. */
+/** The outcome of an expired id is `unknown`: the request may have run before its entry was dropped. */
 function answerJournalRefusal ({ reason, retryAfterMs = NEW_ID_RETRY_MS[reason] }: RefusedDecision): Answer {
   return buildRefusal({
     outcome: reason === RefusalReason.idExpired ? Outcome.unknown : Outcome.notRun,
--- a/packages/almondrelay/src/process/dispatch/requestPlacer.ts
+++ b/packages/almondrelay/src/process/dispatch/requestPlacer.ts
@@ -33,12 +33,14 @@
 
 type PlacerResult = { kind: 'placed', regionQueue: RegionQueue } | QueueRefusal
 
+/** Latency assumed for a region to which no link is configured, in milliseconds. */
 const UNKNOWN_LATENCY_MS = 200
+/** Latency assumed within the own region, in milliseconds. */
 const ZONE_LATENCY_MS = 1
-/** Expected service time of one request, in milliseconds, for the comparison with its deadline. */
+/** Service time assumed for a request, in milliseconds, when the time left until its deadline is checked. */
 const LEAST_COST_MS = 1
 
-/** Decides which region serves a request and gives the queue for it. */
+/** Decides which region serves a request, and returns the queue of that region. */
 export class RequestPlacer {
   private readonly views = new Map<string, KnownZones>()
 
@@ -74,7 +76,7 @@
     }
   }
 
-  /** The own zone is exact; what is known of the others changes with the directory's list. */
+  /** The own zone's free slots are counted now; the others are described anew when the host list or the configuration changes. */
   private buildZones (runtime: ServiceRuntime, configuration: Configuration, now: number): ZoneView[] {
     const { identity, slots, directory } = this.parts
     const hosts = directory.list()
--- a/packages/almondrelay/src/process/dispatch/serviceRuntime.ts
+++ b/packages/almondrelay/src/process/dispatch/serviceRuntime.ts
@@ -5,7 +5,7 @@
 import type { TargetSpec } from '../../version/resources/targetSpec.js'
 import type { RegionQueue } from './regionQueue.js'
 
-/** What this host keeps for one service as long as the service is configured. */
+/** State that this host keeps for one service while the service is configured. */
 export class ServiceRuntime {
   readonly retryBudget = new RetryBudget()
   readonly queues = new Map<string, RegionQueue>()
@@ -18,7 +18,7 @@
     return this.currentSpec
   }
 
-  /** Takes the service's newest spec; `availabilityZone` is this host's. */
+  /** Applies the newest spec of the service; `availabilityZone` is the zone of this host. */
   adoptSpec (spec: ServiceSpec, availabilityZone: string, leaving: ReadonlySet<string>, now: number): void {
     this.currentSpec = spec
     const own = spec.targets.filter((target) => target.availabilityZone === availabilityZone)
@@ -28,23 +28,23 @@
     for (const target of leaving) this.chooser.markLeaving(target, true, now)
   }
 
-  /** The host list, the target itself or a peer says which targets are leaving. */
+  /** Updates which targets are leaving: drained targets, and those reported by the host list, the target itself or a peer. */
   observeLeaving (isLeaving: (target: string) => boolean, now: number): void {
     for (const target of this.targets.keys()) this.chooser.markLeaving(target, this.drained.has(target) || isLeaving(target), now)
   }
 
-  /** The target's own word. */
+  /** Records the load report that a target sent. */
   observeReport (target: string, report: TargetReport, now: number): void {
     this.chooser.report(target, report, now)
   }
 
-  /** Expected service time of a route, in milliseconds; undefined before one was learnt. */
+  /** Expected service time of a route, in milliseconds; undefined until one has been measured. */
   findCost (route: string): number | undefined {
     const [regionQueue] = this.queues.values()
     return regionQueue?.findCost(route)
   }
 
-  /** A target of this host's availability zone. */
+  /** Returns a target of this host's availability zone. */
   findTarget (name: string): TargetSpec | undefined {
     return this.targets.get(name)
   }
--- a/packages/almondrelay/src/process/dispatch/services.ts
+++ b/packages/almondrelay/src/process/dispatch/services.ts
@@ -29,14 +29,14 @@
   signal: AbortSignal
 }
 
-/** The services of the configuration in force, with their queues. */
+/** Services of the current configuration, with their queues. */
 export class Services {
   private readonly runtimes = new Map<string, ServiceRuntime>()
   private current: Configuration | undefined
 
   constructor (private readonly parts: ServicesParts) {}
 
-  /** Undefined until this host has a configuration; no look-up or request is served before. */
+  /** Undefined until this host has received a configuration; before that, no look-ups or requests are served. */
   get configuration (): Configuration | undefined {
     return this.current
   }
@@ -64,7 +64,7 @@
     return [...this.runtimes.values()]
   }
 
-  /** The queue for one service's work in one region, made at its first use. */
+  /** Returns the queue for the requests of one service in one region; created on first use. */
   getQueue (runtime: ServiceRuntime, region: string): RegionQueue {
     const known = runtime.queues.get(region)
     if (known !== undefined) return known
@@ -73,7 +73,7 @@
     return regionQueue
   }
 
-  /** Slots may have become free: lets every queue look. */
+  /** Lets every queue start waiting requests; called when slots may have become free. */
   advance (now: number): void {
     for (const runtime of this.runtimes.values()) {
       for (const regionQueue of runtime.queues.values()) regionQueue.advance(now)
--- a/packages/almondrelay/src/process/dispatch/slotGrant.ts
+++ b/packages/almondrelay/src/process/dispatch/slotGrant.ts
@@ -1,6 +1,6 @@
 import type { HeldCredit } from './heldCredit.js'
 
-/** Where a request may run: on a target of this host's own, or at a peer by its credit. */
+/** Where a request may run: on one of this host's own targets, or on a peer's target for which the peer granted a credit. */
 export type SlotGrant =
   | { kind: 'own', target: string }
   | { kind: 'credit', credit: HeldCredit }
--- a/packages/almondrelay/src/process/dispatch/targetRunner.ts
+++ b/packages/almondrelay/src/process/dispatch/targetRunner.ts
@@ -11,7 +11,7 @@
 import type { SlotPool } from './slotPool.js'
 import type { TargetSender } from './targetSender.js'
 
-/** Time that a target is given to stop work whose connection was closed. */
+/** Time that a target has to stop working on a request after its connection was closed. */
 const CANCEL_GRACE_MS = 500
 
 interface RunnerParts {
@@ -22,7 +22,7 @@
   signal: AbortSignal
 }
 
-/** Runs attempts on the targets that this host owns; the caller of `run` holds the slot already. */
+/** Runs attempts on the targets that this host owns; the caller of `run` has already acquired the slot. */
 export class TargetRunner {
   private running = 0
 
@@ -32,7 +32,7 @@
     return this.running
   }
 
-  /** Sends the attempt and releases its slot as soon as its end is known. */
+  /** Sends the attempt to its target, and releases the slot when the attempt has ended. */
   async run (attempt: Attempt, targetName: string, runtime: ServiceRuntime, signal?: AbortSignal): Promise<AttemptResult> {
     const { clock, slots } = this.parts
     const now = clock.getNow()
@@ -41,8 +41,8 @@
       slots.release(attempt.attemptId, now)
       return { kind: 'not-run', reason: RefusalReason.noTarget, message: `target ${targetName} was removed: try again` }
     }
-    // Failure: the process was stopped between admission and here, and the target would run work
-    // that was refused or fenced meanwhile. The monotonic clock ran on, so the deadline shows it.
+    // If the process was suspended after admission, the request may have been refused or fenced meanwhile, and the
+    // target must not run it. The monotonic clock goes on during a suspension, so the deadline check detects this.
     if (now >= attempt.deadlineAt) {
       slots.release(attempt.attemptId, now)
       return { kind: 'not-run', reason: RefusalReason.deadlinePassed, message: 'the deadline passed before the request was sent: allow more time', target: targetName }
@@ -71,9 +71,9 @@
   }
 
   /**
-   * Failure: an answer is given up on and its slot reused while the target still works, so that
-   * the target runs more than its slots. The slot stays taken until the target has had time to take
-   * the closed connection as a cancellation, or until the deadline that it was sent has passed.
+   * Releases the slot of an attempt. If the answer was lost, the target may still be working, and reusing the slot at
+   * once would run more requests on the target than it has slots. The slot then stays occupied until the target has had
+   * time to treat the closed connection as a cancellation, or until the deadline that was sent to the target has passed.
    */
   private releaseSlot (attempt: Attempt, result: TargetReply, now: number): void {
     const { clock, slots, signal } = this.parts
--- a/packages/almondrelay/src/process/dispatch/toAnswer.ts
+++ b/packages/almondrelay/src/process/dispatch/toAnswer.ts
@@ -3,7 +3,7 @@
 import type { Outcome } from '../../request/outcome.js'
 import type { RefusalReason } from '../../request/refusalReason.js'
 
-/** A peer's response as the answer that it stands for. */
+/** Converts a peer's response to an answer. */
 export function toAnswer (response: ForwardResponse): Answer {
   return {
     outcome: response.outcome as Outcome,
--- a/packages/almondrelay/src/process/dispatch/toForwardResponse.ts
+++ b/packages/almondrelay/src/process/dispatch/toForwardResponse.ts
@@ -2,7 +2,7 @@
 import { ForwardResponseSchema, type ForwardResponse } from 'almondrelay-protocol'
 import type { Answer } from '../../request/answer.js'
 
-/** An answer as it goes to a peer. */
+/** Converts an answer to the response that is sent to a peer. */
 export function toForwardResponse (answer: Answer): ForwardResponse {
   return create(ForwardResponseSchema, {
     outcome: answer.outcome,
