--- a/packages/almondrelay/src/process/dispatch/rankCreditPeers.ts
+++ b/packages/almondrelay/src/process/dispatch/rankCreditPeers.ts
@@ -40,7 +40,7 @@
   return findSteeringPolicy(configuration, service, identity.region)?.spill ?? true
 }
 
-/** One-way latency in milliseconds; 0 within the own zone. */
+/** Computes the cost of using a peer: 0 in the own zone, 1 in the serving region, otherwise 1 plus the one-way latency in milliseconds. */
 function computeCost (host: KnownHost, { identity, configuration, region }: RankInput): number {
   if (host.availabilityZone === identity.availabilityZone) return 0
   if (host.region === region) return 1
