--- a/packages/almondrelay/src/process/dispatch/__tests__/regionQueue.test.ts
+++ b/packages/almondrelay/src/process/dispatch/__tests__/regionQueue.test.ts
@@ -43,9 +43,9 @@
   const request = { id: 'a', caller: 'c', key: '', route: 'POST /leave', deadlineAt: 5_000, arrivedAt: 0 }
   const granted = regionQueue.admit(request, 'r', new Set(), new AbortController().signal)
   await clock.advance(200)
-  assert.is(regionQueue.countWanted(), 1)
+  assert.is(regionQueue.countWantedCredits(), 1)
   regionQueue.addCredits([{ id: 'late', host: 'wlg-a-1', target: 't', expiresAt: 100 }])
-  assert.is(regionQueue.countWanted(), 1)
+  assert.is(regionQueue.countWantedCredits(), 1)
   regionQueue.addCredits([{ id: 'fresh', host: 'wlg-a-1', target: 't', expiresAt: 1_000 }])
   const grant = await granted
   assert.is(grant.kind === 'credit' ? grant.credit.id : grant.kind, 'fresh')
--- a/packages/almondrelay/src/process/dispatch/__tests__/targetRunner.test.ts
+++ b/packages/almondrelay/src/process/dispatch/__tests__/targetRunner.test.ts
@@ -17,7 +17,7 @@
 const SPEC = ServiceSpec.parse({ targets: [TARGET] })
 
 /** Answers only when its signal aborts. */
-class PatientSender extends TargetSender {
+class HangingSender extends TargetSender {
   override send (_address: string, _request: object, signal: AbortSignal): Promise<TargetReply> {
     return new Promise((resolve) => {
       const finish = (): void => { resolve({ kind: 'lost', message: 'aborted', broken: false }) }
@@ -34,8 +34,8 @@
   const capacity = new HostCapacity({ region: 'akl', slots, limits: new RegionLimits(HOST, slots.claims), wakeLoans: () => undefined })
   capacity.adoptTargets('approvals', [TARGET], 10_000, 0)
   const runtime = new ServiceRuntime('approvals', SPEC, new TargetChooser())
-  runtime.adoptSpec(SPEC, 'akl-a', new Set(), 0)
-  const runner = new TargetRunner({ clock, slots: capacity, sender: new PatientSender(), signal: new AbortController().signal })
+  runtime.applySpec(SPEC, 'akl-a', new Set(), 0)
+  const runner = new TargetRunner({ clock, slots: capacity, sender: new HangingSender(), signal: new AbortController().signal })
   return { clock, capacity, runtime, runner }
 }
 
@@ -90,7 +90,7 @@
 test('the slot of a target that was removed meanwhile comes back', async () => {
   const { clock, capacity, runtime, runner } = createParts()
   capacity.acquire('approvals', 't', 'a', 5_000, 0)
-  runtime.adoptSpec({ ...SPEC, targets: [] }, 'akl-a', new Set(), 0)
+  runtime.applySpec({ ...SPEC, targets: [] }, 'akl-a', new Set(), 0)
   const result = await runner.run(makeAttempt('a', 5_000), 't', runtime)
   assert.is(result.kind, 'not-run')
   assert.is(capacity.countFree('approvals', clock.getNow()), 2)
--- a/packages/almondrelay/src/process/dispatch/creditTask.ts
+++ b/packages/almondrelay/src/process/dispatch/creditTask.ts
@@ -21,13 +21,13 @@
 
 /** Timeout of one call about credits, in milliseconds: nearly three round trips between the farthest regions (110 ms). */
 const CREDIT_TIMEOUT_MS = 300
-const MAX_BATCH = 32
+const MAX_CREDITS_PER_CALL = 32
 /**
  * Bounds of the delay after no peer granted a credit, in milliseconds. The delay starts short, so that a newly freed slot
  * is used soon, and doubles, so that peers without free slots aren't flooded with calls.
  */
-const MIN_PAUSE_MS = 20
-const MAX_PAUSE_MS = 500
+const MIN_RETRY_DELAY_MS = 20
+const MAX_RETRY_DELAY_MS = 500
 
 /** Requests credits from peers while requests wait in a queue; each queue has one task. */
 export class CreditTask {
@@ -41,18 +41,18 @@
 
   async run (): Promise<void> {
     const { signal } = this.parts
-    let pauseMs = MIN_PAUSE_MS
+    let retryDelayMs = MIN_RETRY_DELAY_MS
     while (!signal.aborted) {
-      if (this.regionQueue.countWanted() === 0) await this.waitForWake()
+      if (this.regionQueue.countWantedCredits() === 0) await this.waitForWake()
       if (signal.aborted) return
-      const granted = await this.askPeers()
+      const granted = await this.requestFromPeers()
       if (granted > 0) {
-        pauseMs = MIN_PAUSE_MS
+        retryDelayMs = MIN_RETRY_DELAY_MS
         continue
       }
-      await this.parts.clock.sleep(pauseMs, signal)
-      pauseMs = Math.min(pauseMs * 2, MAX_PAUSE_MS)
-      if (this.regionQueue.countWanted() === 0) pauseMs = MIN_PAUSE_MS
+      await this.parts.clock.sleep(retryDelayMs, signal)
+      retryDelayMs = Math.min(retryDelayMs * 2, MAX_RETRY_DELAY_MS)
+      if (this.regionQueue.countWantedCredits() === 0) retryDelayMs = MIN_RETRY_DELAY_MS
     }
   }
 
@@ -66,18 +66,18 @@
     }
   }
 
-  private async askPeers (): Promise<number> {
+  private async requestFromPeers (): Promise<number> {
     const { rankPeers, clock, signal } = this.parts
     let granted = 0
     for (const peer of rankPeers(this.regionQueue, clock.getNow())) {
-      const wanted = Math.min(MAX_BATCH, this.regionQueue.countWanted())
+      const wanted = Math.min(MAX_CREDITS_PER_CALL, this.regionQueue.countWantedCredits())
       if (wanted === 0 || signal.aborted) break
-      granted += await this.askPeer(peer, wanted)
+      granted += await this.requestFromPeer(peer, wanted)
     }
     return granted
   }
 
-  private async askPeer (peer: KnownHost, wanted: number): Promise<number> {
+  private async requestFromPeer (peer: KnownHost, wanted: number): Promise<number> {
     const { clock, links, sender, signal } = this.parts
     // The validity counts from before the call was sent, so that a slow answer doesn't extend it.
     const sentAt = clock.getNow()
--- a/packages/almondrelay/src/process/dispatch/homeRelay.ts
+++ b/packages/almondrelay/src/process/dispatch/homeRelay.ts
@@ -21,9 +21,9 @@
 }
 
 /** Delay between a failed call to the home and the next one, in milliseconds. */
-const RELAY_PAUSE_MS = 100
+const RELAY_RETRY_DELAY_MS = 100
 /** How long failed calls to the home are retried, in milliseconds; after that, the caller gets `unknown` and may try again. */
-const SILENT_HOME_MS = 3_000
+const RELAY_RETRY_PERIOD_MS = 3_000
 
 /**
  * Relays a non-idempotent request to its home, the only host that may start it. Relaying the request twice is
@@ -36,21 +36,21 @@
   async relay (request: CallerRequest, home: HomeReference, deadlineAt: number, signal: AbortSignal): Promise<Answer> {
     const deadline = createDeadlineSignal(this.parts.clock, deadlineAt, signal)
     try {
-      return await this.tryHome(request, home, deadlineAt, deadline.signal)
+      return await this.relayWithRetry(request, home, deadlineAt, deadline.signal)
     } finally {
       deadline.clear()
     }
   }
 
-  private async tryHome (request: CallerRequest, home: HomeReference, deadlineAt: number, signal: AbortSignal): Promise<Answer> {
+  private async relayWithRetry (request: CallerRequest, home: HomeReference, deadlineAt: number, signal: AbortSignal): Promise<Answer> {
     const { clock, directory, links } = this.parts
-    const giveUpAt = clock.getNow() + SILENT_HOME_MS
-    while (!signal.aborted && clock.getNow() < giveUpAt) {
+    const retryUntil = clock.getNow() + RELAY_RETRY_PERIOD_MS
+    while (!signal.aborted && clock.getNow() < retryUntil) {
       const peer = directory.find(home.host)
       if (peer === undefined) return answerUnreachable(home)
       if (peer.incarnation > home.incarnation || peer.gone) return answerGone(home)
       try {
-        return await this.askHome(peer, request, home, deadlineAt, signal)
+        return await this.sendToHome(peer, request, home, deadlineAt, signal)
       } catch (error) {
         if (isConnectionRefused(error)) {
           directory.observeRefused(peer.name, peer.incarnation)
@@ -58,13 +58,13 @@
         }
         links.drop(peer.peerAddress)
       }
-      await clock.sleep(RELAY_PAUSE_MS, signal)
+      await clock.sleep(RELAY_RETRY_DELAY_MS, signal)
     }
     return answerUnreachable(home)
   }
 
-  private async askHome (peer: KnownHost, request: CallerRequest, home: HomeReference, deadlineAt: number, signal: AbortSignal): Promise<Answer> {
-    const leftMs = Math.max(1, Math.floor(deadlineAt - this.parts.clock.getNow()))
+  private async sendToHome (peer: KnownHost, request: CallerRequest, home: HomeReference, deadlineAt: number, signal: AbortSignal): Promise<Answer> {
+    const remainingMs = Math.max(1, Math.floor(deadlineAt - this.parts.clock.getNow()))
     const response = await this.parts.links.get(peer.peerAddress).relay({
       sender: this.parts.sender,
       service: request.service,
@@ -72,9 +72,9 @@
       path: request.path,
       headers: request.headers,
       body: request.body,
-      deadlineMs: leftMs,
+      deadlineMs: remainingMs,
       homeIncarnation: BigInt(home.incarnation)
-    }, { signal, timeoutMs: leftMs })
+    }, { signal, timeoutMs: remainingMs })
     return toAnswer(response)
   }
 }
--- a/packages/almondrelay/src/process/dispatch/hostCapacity.ts
+++ b/packages/almondrelay/src/process/dispatch/hostCapacity.ts
@@ -19,7 +19,7 @@
  * region; both are acquired and released together, so that neither is ever held without the other.
  */
 export class HostCapacity extends SlotPool {
-  private lastReason: RefusalReason | undefined
+  private lastRefusalReason: RefusalReason | undefined
 
   constructor (private readonly parts: CapacityParts) {
     super()
@@ -27,7 +27,7 @@
 
   /** Limit that refused the last attempt to take a slot; it is the reason given to a caller that gets no slot. */
   override get shortage (): RefusalReason | undefined {
-    return this.lastReason
+    return this.lastRefusalReason
   }
 
   override getFree (service: string, now: number): Map<string, number> {
@@ -36,12 +36,12 @@
 
   override countFree (service: string, now: number): number {
     const slots = [...this.getFree(service, now).values()].reduce((sum, each) => sum + each, 0)
-    const room = this.parts.limits.countFree(this.makeRoute(service, this.parts.region), now)
-    return Math.max(0, Math.min(slots, room))
+    const limitCapacity = this.parts.limits.countFree(this.makeRoute(service, this.parts.region), now)
+    return Math.max(0, Math.min(slots, limitCapacity))
   }
 
   override observeWaiting (service: string, waiting: number): void {
-    this.requireRoom(this.makeRoute(service, this.parts.region), waiting)
+    this.reportDemand(this.makeRoute(service, this.parts.region), waiting)
   }
 
   override adoptTargets (service: string, targets: readonly TargetSpec[], maxDeadlineMs: number, now: number): void {
@@ -51,7 +51,7 @@
   override acquire (service: string, target: string, holder: string, runsUntil: number, now: number): boolean {
     const { slots, limits, region } = this.parts
     const decision = limits.acquire(this.makeRoute(service, region), holder, runsUntil, now)
-    this.lastReason = decision.allowed ? undefined : decision.reason
+    this.lastRefusalReason = decision.allowed ? undefined : decision.reason
     if (!decision.allowed) return false
     if (slots.acquire(service, target, holder, runsUntil, now)) return true
     limits.release(holder, now)
@@ -66,20 +66,20 @@
   override grantCredits (service: string, sender: { host: string, region: string }, wanted: number, now: number, isUsable: (target: string) => boolean): CreditGrant {
     const { slots, limits } = this.parts
     const route = this.makeRoute(service, sender.region)
-    this.requireRoom(route, wanted)
+    this.reportDemand(route, wanted)
     const credits = slots.grantCredits(service, sender.host, wanted, now, isUsable)
-    const kept = []
+    const admitted = []
     let reason: RefusalReason | undefined
     for (const credit of credits) {
       const decision = limits.acquireForCredit(route, credit.id, credit.expiresAt, now)
       if (decision.allowed) {
-        kept.push(credit)
+        admitted.push(credit)
         continue
       }
       reason = decision.reason
       slots.returnCredits([credit.id], now)
     }
-    return reason === undefined ? { credits: kept } : { credits: kept, reason }
+    return reason === undefined ? { credits: admitted } : { credits: admitted, reason }
   }
 
   override useCredit (creditId: string, holder: string, runsUntil: number, now: number): { service: string, target: string } | undefined {
@@ -99,7 +99,7 @@
     for (const id of ids) this.parts.limits.release(id, now)
   }
 
-  private requireRoom (route: LimitRoute, wanted: number): void {
+  private reportDemand (route: LimitRoute, wanted: number): void {
     this.parts.limits.observeDemand(route, wanted)
     this.parts.wakeLoans()
   }
--- a/packages/almondrelay/src/process/dispatch/peerForwarder.ts
+++ b/packages/almondrelay/src/process/dispatch/peerForwarder.ts
@@ -26,7 +26,7 @@
  */
 const FENCE_WAIT_MS = 500
 /** Delay between two fence calls, in milliseconds. */
-const FENCE_PAUSE_MS = 50
+const FENCE_RETRY_DELAY_MS = 50
 
 /** Runs attempts on targets that a peer owns. */
 export class PeerForwarder {
@@ -64,7 +64,7 @@
     while (!signal.aborted && clock.getNow() < attempt.deadlineAt) {
       const link = links.open(peer.peerAddress)
       try {
-        const result = await this.askFence(link.client, attempt, peer, signal)
+        const result = await this.sendFence(link.client, attempt, peer, signal)
         if (result !== undefined) return result
       } catch (error) {
         if (isConnectionRefused(error)) {
@@ -74,12 +74,12 @@
       } finally {
         link.close()
       }
-      await clock.sleep(FENCE_PAUSE_MS, signal)
+      await clock.sleep(FENCE_RETRY_DELAY_MS, signal)
     }
     return buildUnknown(RefusalReason.answerLost, `host ${peer.name} could not be asked before the deadline: ask the service whether it ran`)
   }
 
-  private async askFence (client: Client<typeof PeerService>, attempt: Attempt, peer: KnownHost, signal: AbortSignal): Promise<AttemptResult | undefined> {
+  private async sendFence (client: Client<typeof PeerService>, attempt: Attempt, peer: KnownHost, signal: AbortSignal): Promise<AttemptResult | undefined> {
     const response = await client.fence({
       sender: this.parts.sender,
       attemptId: attempt.attemptId,
--- a/packages/almondrelay/src/process/dispatch/peerRequests.ts
+++ b/packages/almondrelay/src/process/dispatch/peerRequests.ts
@@ -50,10 +50,10 @@
     const runtime = services.find(request.service)
     if (runtime === undefined) return { credits: [], validMs: 0, reason: RefusalReason.unknownService }
     // Waiting requests of this host's own callers take precedence; a peer that is granted no credit asks another host.
-    const isBusy = [...runtime.queues.values()].some((regionQueue) => regionQueue.region === this.parts.identity.region && regionQueue.countWaiting() > 0)
+    const hasWaitingCallers = [...runtime.queues.values()].some((regionQueue) => regionQueue.region === this.parts.identity.region && regionQueue.countWaiting() > 0)
     const sender = { host: request.sender?.host ?? '', region: request.sender?.region ?? '' }
     const isUsable = (target: string): boolean => runtime.chooser.allow(target, now)
-    const grant = isBusy ? { credits: [] } : slots.grantCredits(request.service, sender, request.wanted, now, isUsable)
+    const grant = hasWaitingCallers ? { credits: [] } : slots.grantCredits(request.service, sender, request.wanted, now, isUsable)
     const { credits, reason = RefusalReason.noCredit } = grant
     const validMs = Math.max(0, Math.floor(Math.min(...credits.map((credit) => credit.expiresAt - now))))
     return { credits, validMs: credits.length === 0 ? 0 : validMs, reason: credits.length === 0 ? reason : '' }
--- a/packages/almondrelay/src/process/dispatch/rankCreditPeers.ts
+++ b/packages/almondrelay/src/process/dispatch/rankCreditPeers.ts
@@ -15,9 +15,9 @@
 }
 
 /** Maximum number of peers asked in one round; each takes a round trip while a caller waits. */
-const MAX_PEERS = 4
+const MAX_PEERS_PER_ROUND = 4
 /** Latency assumed for a region to which no link is configured, in milliseconds. */
-const UNKNOWN_LATENCY_MS = 200
+const DEFAULT_LATENCY_MS = 200
 
 /**
  * Ranks the peers to ask for credits, best first: those in the own zone, then those in the serving region, then those
@@ -30,9 +30,9 @@
   const ranked = hosts
     .filter((host) => host.name !== identity.host && host.reachable && !host.gone && !host.leaving)
     .filter((host) => host.region === region || isSpillAllowed)
-    .map((host) => ({ host, cost: computeCost(host, input), draw: random() * (1 + (host.freeSlots.get(input.service) ?? 0)) }))
-  ranked.sort((one, other) => one.cost - other.cost || other.draw - one.draw)
-  return ranked.slice(0, MAX_PEERS).map((each) => each.host)
+    .map((host) => ({ host, cost: computeCost(host, input), tieBreak: random() * (1 + (host.freeSlots.get(input.service) ?? 0)) }))
+  ranked.sort((one, other) => one.cost - other.cost || other.tieBreak - one.tieBreak)
+  return ranked.slice(0, MAX_PEERS_PER_ROUND).map((each) => each.host)
 }
 
 function allowSpill ({ configuration, service, identity }: RankInput): boolean {
@@ -45,5 +45,5 @@
   if (host.availabilityZone === identity.availabilityZone) return 0
   if (host.region === region) return 1
   const link = configuration?.list('Link').find((each) => each.spec.from === identity.region && each.spec.to === host.region)
-  return 1 + (link?.spec.latencyMs ?? UNKNOWN_LATENCY_MS)
+  return 1 + (link?.spec.latencyMs ?? DEFAULT_LATENCY_MS)
 }
--- a/packages/almondrelay/src/process/dispatch/regionQueue.ts
+++ b/packages/almondrelay/src/process/dispatch/regionQueue.ts
@@ -42,18 +42,18 @@
 }
 
 /** Shortest Retry-After, in milliseconds, of a request that the queue admitted but whose slot was no longer free. */
-const MIN_RETRY_MS = 100
+const MIN_RETRY_AFTER_MS = 100
 /** Range of the random time added to that, in milliseconds, so that such requests don't all return together. */
-const RETRY_SPREAD_MS = 400
+const RETRY_AFTER_JITTER_MS = 400
 /** Minimum delay before a scheduled check of the queue, in milliseconds. */
-const MIN_CHECK_MS = 1
+const MIN_CHECK_DELAY_MS = 1
 
 /** Requests of one service that wait for slots in one region; combines the admission queue with the slots and credits that it can use. */
 export class RegionQueue {
   private readonly waiting = new Map<string, WaitingRequest>()
   private credits: HeldCredit[] = []
   private checkTimer: AbortController | undefined
-  private lastShortage: RefusalReason = RefusalReason.noCredit
+  private lastPeerReason: RefusalReason = RefusalReason.noCredit
 
   constructor (private readonly parts: RegionQueueParts) {}
 
@@ -70,7 +70,7 @@
   }
 
   /** Number of further credits that waiting requests could use at once. */
-  countWanted (): number {
+  countWantedCredits (): number {
     return Math.max(0, this.parts.queue.waiting - this.countCredits(this.parts.clock.getNow()))
   }
 
@@ -87,7 +87,7 @@
     const capacity = this.computeCapacity(free)
     const decision = queue.offer(request, free, capacity, now)
     recorder.record({ decision: 'admission', requestId, input: { service: this.service, region: this.region, caller: request.caller, key: request.key, route: request.route, deadlineMs: Math.round(request.deadlineAt - now), free, capacity, waiting: queue.waiting }, output: { ...decision } })
-    if (decision.kind === 'refuse') return Promise.resolve(this.explainRefusal(decision.reason, decision.retryAfterMs))
+    if (decision.kind === 'refuse') return Promise.resolve(this.buildQueueRefusal(decision.reason, decision.retryAfterMs))
     const result = new Promise<SlotGrant | QueueRefusal>((resolve) => {
       this.waiting.set(request.id, { request, requestId, excluded, resolve })
     })
@@ -114,7 +114,7 @@
 
   /** Records why a peer granted no credits when last asked. */
   observeShortage (reason: RefusalReason): void {
-    this.lastShortage = reason
+    this.lastPeerReason = reason
   }
 
   /** Assigns free slots and credits to waiting requests; called whenever slots may have become free. */
@@ -135,7 +135,7 @@
       return
     }
     this.waiting.delete(request.id)
-    waiting.resolve(this.takeSlot(waiting, now) ?? this.refuseForSlot(request, now))
+    waiting.resolve(this.takeSlot(waiting, now) ?? this.refuseLostSlot(request, now))
   }
 
   private takeSlot (waiting: WaitingRequest, now: number): SlotGrant | undefined {
@@ -149,8 +149,8 @@
     const choice = chooser.choose(free, waiting.excluded, now, random) ?? chooser.choose(free, new Set(), now, random)
     if (choice === undefined) return undefined
     recorder.record({ decision: 'choice', requestId: waiting.requestId, input: { service, free: Object.fromEntries(free), excluded: [...waiting.excluded] }, output: { ...choice } })
-    const isTaken = slots.acquire(service, choice.target, waiting.request.id, waiting.request.deadlineAt, now)
-    return isTaken ? { kind: 'own', target: choice.target } : undefined
+    const isAcquired = slots.acquire(service, choice.target, waiting.request.id, waiting.request.deadlineAt, now)
+    return isAcquired ? { kind: 'own', target: choice.target } : undefined
   }
 
   private takeCredit (now: number): SlotGrant | undefined {
@@ -160,29 +160,29 @@
   }
 
   /** Refuses a request that the queue admitted but for which neither a slot nor a credit could be taken. */
-  private refuseForSlot (request: QueuedRequest, now: number): QueueRefusal {
+  private refuseLostSlot (request: QueuedRequest, now: number): QueueRefusal {
     this.parts.queue.finish(request, undefined, now)
     const reason = this.parts.slots.shortage ?? RefusalReason.noTarget
-    return { kind: 'refused', reason, retryAfterMs: Math.round(MIN_RETRY_MS + this.parts.random() * RETRY_SPREAD_MS) }
+    return { kind: 'refused', reason, retryAfterMs: Math.round(MIN_RETRY_AFTER_MS + this.parts.random() * RETRY_AFTER_JITTER_MS) }
   }
 
   private refuse (refusals: AdmissionRefusal[]): void {
     for (const { request, reason, retryAfterMs } of refusals) {
       const waiting = this.waiting.get(request.id)
       this.waiting.delete(request.id)
-      waiting?.resolve(this.explainRefusal(reason, retryAfterMs))
+      waiting?.resolve(this.buildQueueRefusal(reason, retryAfterMs))
     }
   }
 
   /** Gives the shortage as the reason where nothing of this queue runs and no slot or credit is free. */
-  private explainRefusal (reason: RefusalReason, retryAfterMs: number): QueueRefusal {
-    const isStarved = this.parts.queue.running === 0 && this.countFree(this.parts.clock.getNow()) === 0
-    return { kind: 'refused', reason: isStarved ? this.findShortage() : reason, retryAfterMs }
+  private buildQueueRefusal (reason: RefusalReason, retryAfterMs: number): QueueRefusal {
+    const hasNoSlots = this.parts.queue.running === 0 && this.countFree(this.parts.clock.getNow()) === 0
+    return { kind: 'refused', reason: hasNoSlots ? this.findShortageReason() : reason, retryAfterMs }
   }
 
   /** Why this queue gets no slot: a limit of the own region, or else the reason that a peer gave last. */
-  private findShortage (): RefusalReason {
-    return (this.parts.usesOwnSlots ? this.parts.slots.shortage : undefined) ?? this.lastShortage
+  private findShortageReason (): RefusalReason {
+    return (this.parts.usesOwnSlots ? this.parts.slots.shortage : undefined) ?? this.lastPeerReason
   }
 
   private cancel (request: QueuedRequest): void {
@@ -208,8 +208,8 @@
 
   /** Estimates how many slots the queue's requests may hold at once; free slots of peers count only where this host holds none. */
   private computeCapacity (free: number): number {
-    const own = free + this.parts.queue.running
-    return own > 0 ? own : this.parts.estimateCredits()
+    const usableSlots = free + this.parts.queue.running
+    return usableSlots > 0 ? usableSlots : this.parts.estimateCredits()
   }
 
   private returnUnused (): void {
@@ -218,19 +218,19 @@
   }
 
   private requestCredits (): void {
-    const wanted = this.countWanted()
+    const wanted = this.countWantedCredits()
     if (wanted === 0) return
     if (this.parts.usesOwnSlots) this.parts.slots.observeWaiting(this.service, wanted)
     this.parts.wakeCreditTask()
   }
 
   private scheduleCheck (now: number): void {
-    const at = this.parts.queue.computeNextCheckAt(now)
+    const checkAt = this.parts.queue.computeNextCheckAt(now)
     this.checkTimer?.abort()
-    if (at === undefined) return
+    if (checkAt === undefined) return
     const timer = new AbortController()
     this.checkTimer = timer
-    void this.parts.clock.sleep(Math.max(MIN_CHECK_MS, at - now), timer.signal).then(() => {
+    void this.parts.clock.sleep(Math.max(MIN_CHECK_DELAY_MS, checkAt - now), timer.signal).then(() => {
       if (!timer.signal.aborted && !this.parts.signal.aborted) this.advance(this.parts.clock.getNow())
     })
   }
--- a/packages/almondrelay/src/process/dispatch/requestExecutor.ts
+++ b/packages/almondrelay/src/process/dispatch/requestExecutor.ts
@@ -36,7 +36,7 @@
   deadlineAt: number
   attempts: number
   /** Targets of this host on which an attempt was run. */
-  tried: Set<string>
+  triedTargets: Set<string>
   /** Whether any attempt may have run; stays true if a later attempt is not started. */
   mayHaveRun: boolean
   signal: AbortSignal
@@ -51,7 +51,7 @@
   /** Resolves with the final answer by the deadline, also when the request fails. */
   async execute (request: CallerRequest, runtime: ServiceRuntime, deadlineAt: number, signal: AbortSignal): Promise<Answer> {
     const deadline = createDeadlineSignal(this.parts.clock, deadlineAt, signal)
-    const execution: Execution = { request, runtime, deadlineAt, attempts: 0, tried: new Set(), mayHaveRun: false, signal: deadline.signal }
+    const execution: Execution = { request, runtime, deadlineAt, attempts: 0, triedTargets: new Set(), mayHaveRun: false, signal: deadline.signal }
     try {
       return await this.runAttempts(execution)
     } finally {
@@ -75,7 +75,7 @@
     const { clock } = this.parts
     const attempt = this.buildAttempt(execution)
     const queued = { id: attempt.attemptId, caller: attempt.caller, key: execution.request.key, route: attempt.route, deadlineAt: execution.deadlineAt, arrivedAt: clock.getNow() }
-    const grant = await regionQueue.admit(queued, attempt.requestId, execution.tried, execution.signal)
+    const grant = await regionQueue.admit(queued, attempt.requestId, execution.triedTargets, execution.signal)
     if (grant.kind === 'refused') return grant
     execution.attempts += 1
     const startedAt = clock.getNow()
@@ -88,7 +88,7 @@
 
   private async run (attempt: Attempt, grant: SlotGrant, execution: Execution): Promise<AttemptResult> {
     if (grant.kind === 'credit') return await this.parts.forwarder.forward(attempt, grant.credit, execution.signal)
-    execution.tried.add(grant.target)
+    execution.triedTargets.add(grant.target)
     return await this.parts.runner.run(attempt, grant.target, execution.runtime, execution.signal)
   }
 
@@ -142,14 +142,14 @@
       outcome: execution.mayHaveRun ? Outcome.unknown : Outcome.notRun,
       reason: result.reason,
       message: result.message,
-      ...(result.kind === 'not-run' ? { retryAfterMs: result.retryAfterMs ?? DEFAULT_RETRY_MS } : {}),
+      ...(result.kind === 'not-run' ? { retryAfterMs: result.retryAfterMs ?? DEFAULT_RETRY_AFTER_MS } : {}),
       ...(result.target === undefined ? {} : { target: result.target })
     })
   }
 }
 
 /** Retry-After, in milliseconds, for an attempt that was not run and whose failure states none. */
-const DEFAULT_RETRY_MS = 500
+const DEFAULT_RETRY_AFTER_MS = 500
 
 function describeOutcome (result: Exclude<AttemptResult, { kind: 'answered' }>): AttemptOutcome {
   return match(result.reason)
--- a/packages/almondrelay/src/process/dispatch/requestHandler.ts
+++ b/packages/almondrelay/src/process/dispatch/requestHandler.ts
@@ -44,7 +44,7 @@
     this.inFlight += 1
     try {
       if (request.idempotent) return await this.parts.executor.execute(request, runtime, deadlineAt, signal)
-      return await this.handleOnce(request, runtime, deadlineAt, signal)
+      return await this.handleNonIdempotent(request, runtime, deadlineAt, signal)
     } finally {
       this.inFlight -= 1
     }
@@ -56,10 +56,10 @@
     const decision = this.parts.journal.fence(request, this.parts.clock.getWallTime())
     if (decision.kind === 'answered') return decision.answer
     if (decision.kind === 'refuse') return answerJournalRefusal(decision)
-    return await this.join(request.id, this.parts.clock.getNow() + FENCE_JOIN_MS, signal)
+    return await this.join(request.id, this.parts.clock.getNow() + FENCE_JOIN_TIMEOUT_MS, signal)
   }
 
-  private async handleOnce (request: CallerRequest, runtime: ServiceRuntime, deadlineAt: number, signal: AbortSignal): Promise<Answer> {
+  private async handleNonIdempotent (request: CallerRequest, runtime: ServiceRuntime, deadlineAt: number, signal: AbortSignal): Promise<Answer> {
     const { identity, journal, clock, relay } = this.parts
     const { home } = request
     if (home === undefined || request.idTime === undefined) return answerJournalRefusal({ reason: RefusalReason.missingHome })
@@ -67,7 +67,7 @@
     if (!this.isHome(home)) return answerHomeGone(home)
     const entry: JournalRequest = { id: request.id, idTime: request.idTime, attempt: request.attempt, fingerprint: computeFingerprint(request) }
     return await match(journal.begin(entry, clock.getWallTime()))
-      .with({ kind: 'run' }, () => this.begin(entry, request, runtime, deadlineAt))
+      .with({ kind: 'run' }, () => this.runJournaled(entry, request, runtime, deadlineAt))
       .with({ kind: 'join' }, () => this.join(request.id, deadlineAt, signal))
       .with({ kind: 'answered' }, async ({ answer }) => answer)
       .with({ kind: 'refuse' }, async (decision) => answerJournalRefusal(decision))
@@ -78,7 +78,7 @@
     return home.host === this.parts.identity.host && home.incarnation === this.parts.identity.incarnation
   }
 
-  private async begin (entry: JournalRequest, request: CallerRequest, runtime: ServiceRuntime, deadlineAt: number): Promise<Answer> {
+  private async runJournaled (entry: JournalRequest, request: CallerRequest, runtime: ServiceRuntime, deadlineAt: number): Promise<Answer> {
     const { executor, journal, clock, signal } = this.parts
     // An unexpected error must not leave the id marked as running for ever; the caller gets `unknown`, as the request may have run.
     const answer = executor.execute(request, runtime, deadlineAt, signal).catch(answerInternalError)
@@ -104,10 +104,10 @@
 }
 
 /** Timeout of the wait for the answer of a request that is already running when it is fenced, in milliseconds. */
-const FENCE_JOIN_MS = 5_000
+const FENCE_JOIN_TIMEOUT_MS = 5_000
 
 /** Retry-After by refusal reason, in milliseconds; after `fenced`, the request may be sent under a new id at once. */
-const NEW_ID_RETRY_MS: Partial<Record<RefusalReason, number>> = { [RefusalReason.fenced]: 1 }
+const RETRY_AFTER_MS_BY_REASON: Partial<Record<RefusalReason, number>> = { [RefusalReason.fenced]: 1 }
 
 const journalMessages: Partial<Record<RefusalReason, string>> = {
   [RefusalReason.invalidHeader]: 'Idempotency-Key carries a time ahead of this host\'s clock: set the caller\'s clock',
@@ -119,7 +119,7 @@
 }
 
 /** The outcome of an expired id is `unknown`: the request may have run before its entry was dropped. */
-function answerJournalRefusal ({ reason, retryAfterMs = NEW_ID_RETRY_MS[reason] }: RefusedDecision): Answer {
+function answerJournalRefusal ({ reason, retryAfterMs = RETRY_AFTER_MS_BY_REASON[reason] }: RefusedDecision): Answer {
   return buildRefusal({
     outcome: reason === RefusalReason.idExpired ? Outcome.unknown : Outcome.notRun,
     reason,
--- a/packages/almondrelay/src/process/dispatch/requestPlacer.ts
+++ b/packages/almondrelay/src/process/dispatch/requestPlacer.ts
@@ -25,7 +25,7 @@
   modules: DecisionModules
 }
 
-interface KnownZones {
+interface CachedZones {
   hosts: KnownHost[]
   configuration: Configuration
   zones: ZoneView[]
@@ -34,15 +34,15 @@
 type PlacerResult = { kind: 'placed', regionQueue: RegionQueue } | QueueRefusal
 
 /** Latency assumed for a region to which no link is configured, in milliseconds. */
-const UNKNOWN_LATENCY_MS = 200
+const DEFAULT_LATENCY_MS = 200
 /** Latency assumed within the own region, in milliseconds. */
-const ZONE_LATENCY_MS = 1
+const OWN_REGION_LATENCY_MS = 1
 /** Service time assumed for a request, in milliseconds, when the time left until its deadline is checked. */
-const LEAST_COST_MS = 1
+const MIN_COST_MS = 1
 
 /** Decides which region serves a request, and returns the queue of that region. */
 export class RequestPlacer {
-  private readonly views = new Map<string, KnownZones>()
+  private readonly zonesByService = new Map<string, CachedZones>()
 
   constructor (private readonly parts: PlacerParts) {}
 
@@ -54,9 +54,9 @@
     const input = this.buildInput(runtime, configuration, deadlineAt, now)
     const placement = modules.choosePlacement(request.id, input, now)
     if (placement.kind === 'refuse') return { kind: 'refused', reason: placement.reason, retryAfterMs: placement.retryAfterMs }
-    const first = placement.zones[0]
-    if (first === undefined) return { kind: 'refused', reason: RefusalReason.noTarget, retryAfterMs: 1_000 }
-    return { kind: 'placed', regionQueue: services.getQueue(runtime, first.region) }
+    const preferredZone = placement.zones[0]
+    if (preferredZone === undefined) return { kind: 'refused', reason: RefusalReason.noTarget, retryAfterMs: 1_000 }
+    return { kind: 'placed', regionQueue: services.getOrCreateQueue(runtime, preferredZone.region) }
   }
 
   private buildInput (runtime: ServiceRuntime, configuration: Configuration, deadlineAt: number, now: number): PlacementInput {
@@ -72,7 +72,7 @@
       zones: this.buildZones(runtime, configuration, now),
       caps: [],
       remainingMs: deadlineAt - now,
-      costMs: LEAST_COST_MS
+      costMs: MIN_COST_MS
     }
   }
 
@@ -80,10 +80,10 @@
   private buildZones (runtime: ServiceRuntime, configuration: Configuration, now: number): ZoneView[] {
     const { identity, slots, directory } = this.parts
     const hosts = directory.list()
-    const known = this.views.get(runtime.name)
-    const isCurrent = known !== undefined && known.hosts === hosts && known.configuration === configuration
-    const zones = isCurrent ? known.zones : this.describeZones(runtime, configuration, hosts)
-    if (!isCurrent) this.views.set(runtime.name, { hosts, configuration, zones })
+    const cached = this.zonesByService.get(runtime.name)
+    const isCurrent = cached !== undefined && cached.hosts === hosts && cached.configuration === configuration
+    const zones = isCurrent ? cached.zones : this.describeZones(runtime, configuration, hosts)
+    if (!isCurrent) this.zonesByService.set(runtime.name, { hosts, configuration, zones })
     return zones.map((zone) => zone.availabilityZone === identity.availabilityZone
       ? { ...zone, freeSlots: slots.countFree(runtime.name, now), ageMs: 0, reachable: true }
       : zone)
@@ -106,9 +106,9 @@
 
   private findLatencyMs (configuration: Configuration, region: string): number {
     const { identity } = this.parts
-    if (region === identity.region) return ZONE_LATENCY_MS
+    if (region === identity.region) return OWN_REGION_LATENCY_MS
     const link = configuration.list('Link').find((each) => each.spec.from === identity.region && each.spec.to === region)
-    return link?.spec.latencyMs ?? UNKNOWN_LATENCY_MS
+    return link?.spec.latencyMs ?? DEFAULT_LATENCY_MS
   }
 }
 
--- a/packages/almondrelay/src/process/dispatch/serviceRuntime.ts
+++ b/packages/almondrelay/src/process/dispatch/serviceRuntime.ts
@@ -19,13 +19,13 @@
   }
 
   /** Applies the newest spec of the service; `availabilityZone` is the zone of this host. */
-  adoptSpec (spec: ServiceSpec, availabilityZone: string, leaving: ReadonlySet<string>, now: number): void {
+  applySpec (spec: ServiceSpec, availabilityZone: string, drainedTargets: ReadonlySet<string>, now: number): void {
     this.currentSpec = spec
-    const own = spec.targets.filter((target) => target.availabilityZone === availabilityZone)
-    this.targets = new Map(own.map((target) => [target.name, target]))
-    this.chooser.adoptTargets(own, now)
-    this.drained = leaving
-    for (const target of leaving) this.chooser.markLeaving(target, true, now)
+    const ownTargets = spec.targets.filter((target) => target.availabilityZone === availabilityZone)
+    this.targets = new Map(ownTargets.map((target) => [target.name, target]))
+    this.chooser.adoptTargets(ownTargets, now)
+    this.drained = drainedTargets
+    for (const target of drainedTargets) this.chooser.markLeaving(target, true, now)
   }
 
   /** Updates which targets are leaving: drained targets, and those reported by the host list, the target itself or a peer. */
--- a/packages/almondrelay/src/process/dispatch/services.ts
+++ b/packages/almondrelay/src/process/dispatch/services.ts
@@ -32,22 +32,22 @@
 /** Services of the current configuration, with their queues. */
 export class Services {
   private readonly runtimes = new Map<string, ServiceRuntime>()
-  private current: Configuration | undefined
+  private currentConfiguration: Configuration | undefined
 
   constructor (private readonly parts: ServicesParts) {}
 
   /** Undefined until this host has received a configuration; before that, no look-ups or requests are served. */
   get configuration (): Configuration | undefined {
-    return this.current
+    return this.currentConfiguration
   }
 
   adoptConfiguration (configuration: Configuration, now: number): void {
     const { identity, modules, slots, maxDeadlineMs } = this.parts
-    this.current = configuration
+    this.currentConfiguration = configuration
     for (const { name, spec } of configuration.list('Service')) {
       const runtime = this.runtimes.get(name) ?? new ServiceRuntime(name, spec, modules.createChooser(name))
       this.runtimes.set(name, runtime)
-      runtime.adoptSpec(spec, identity.availabilityZone, findDrainedTargets(configuration, name, spec), now)
+      runtime.applySpec(spec, identity.availabilityZone, findDrainedTargets(configuration, name, spec), now)
       slots.adoptTargets(name, spec.targets, maxDeadlineMs, now)
     }
     for (const name of this.runtimes.keys()) {
@@ -65,9 +65,9 @@
   }
 
   /** Returns the queue for the requests of one service in one region; created on first use. */
-  getQueue (runtime: ServiceRuntime, region: string): RegionQueue {
-    const known = runtime.queues.get(region)
-    if (known !== undefined) return known
+  getOrCreateQueue (runtime: ServiceRuntime, region: string): RegionQueue {
+    const existing = runtime.queues.get(region)
+    if (existing !== undefined) return existing
     const regionQueue = this.createQueue(runtime, region)
     runtime.queues.set(region, regionQueue)
     return regionQueue
@@ -83,7 +83,7 @@
   private createQueue (runtime: ServiceRuntime, region: string): RegionQueue {
     const { identity, clock, random, modules, recorder, slots, directory, links, maxQueued, signal } = this.parts
     const task = {} as { current?: CreditTask }
-    const rankPeers = (): KnownHost[] => rankCreditPeers({ service: runtime.name, region, identity, hosts: directory.list(), configuration: this.current, random })
+    const rankPeers = (): KnownHost[] => rankCreditPeers({ service: runtime.name, region, identity, hosts: directory.list(), configuration: this.currentConfiguration, random })
     const regionQueue = new RegionQueue({
       service: runtime.name,
       region,
--- a/packages/almondrelay/src/process/dispatch/targetRunner.ts
+++ b/packages/almondrelay/src/process/dispatch/targetRunner.ts
@@ -12,7 +12,7 @@
 import type { TargetSender } from './targetSender.js'
 
 /** Time that a target has to stop working on a request after its connection was closed. */
-const CANCEL_GRACE_MS = 500
+const CANCELLATION_GRACE_MS = 500
 
 interface RunnerParts {
   clock: Clock
@@ -81,18 +81,18 @@
       slots.release(attempt.attemptId, now)
       return
     }
-    const waitMs = Math.max(0, Math.min(attempt.deadlineAt - now, CANCEL_GRACE_MS))
+    const waitMs = Math.max(0, Math.min(attempt.deadlineAt - now, CANCELLATION_GRACE_MS))
     void clock.sleep(waitMs, signal).then(() => { slots.release(attempt.attemptId, clock.getNow()) })
   }
 }
 
 function buildTargetRequest (attempt: Attempt, maxAnswerBytes: number, now: number): Parameters<TargetSender['send']>[1] {
-  const passed = attempt.headers.filter((header) => !isReplaced(header.name))
+  const forwardedHeaders = attempt.headers.filter((header) => !isReplacedHeader(header.name))
   return {
     method: attempt.method,
     path: attempt.path,
     headers: [
-      ...passed,
+      ...forwardedHeaders,
       { name: HeaderName.id, value: attempt.requestId },
       { name: HeaderName.caller, value: attempt.caller },
       { name: HeaderName.deadline, value: String(Math.max(1, Math.floor(attempt.deadlineAt - now))) }
@@ -103,9 +103,9 @@
   }
 }
 
-function isReplaced (name: string): boolean {
-  const lower = name.toLowerCase()
-  return lower === 'host' || lower === 'expect' || lower === HeaderName.id || lower === HeaderName.caller || lower === HeaderName.deadline || lower === HeaderName.home
+function isReplacedHeader (name: string): boolean {
+  const lowerCaseName = name.toLowerCase()
+  return lowerCaseName === 'host' || lowerCaseName === 'expect' || lowerCaseName === HeaderName.id || lowerCaseName === HeaderName.caller || lowerCaseName === HeaderName.deadline || lowerCaseName === HeaderName.home
 }
 
 function describeResult (result: TargetReply, target: string): AttemptResult {
