--- a/packages/almondrelay/src/connection/caller/createCallerApp.ts
+++ b/packages/almondrelay/src/connection/caller/createCallerApp.ts
@@ -29,7 +29,7 @@
 const REQUEST_PREFIX = '/s/'
 const NOT_READY_RETRY_MS = 1_000
 
-/** The caller port: look-ups, requests, and fencing of an id by its caller. */
+/** Creates the HTTP app of the caller port: look-ups, requests, and the fencing of a request id by its caller. */
 export function createCallerApp (parts: CallerAppParts): Hono {
   const app = new Hono()
   app.get('/v1/lookup', (context) => answerLookup(context, parts))
@@ -74,7 +74,7 @@
   return 'refusal' in parsed ? { answer: parsed.refusal } : { request: parsed.request, runtime }
 }
 
-/** Path and query after `/s/<service>`, as they came. */
+/** Returns the path and query after `/s/<service>` as received, without decoding. */
 function readTargetPath (url: string, service: string): string {
   const start = url.indexOf(REQUEST_PREFIX, url.indexOf('://') + 3)
   return url.slice(start + REQUEST_PREFIX.length + service.length)
--- a/packages/almondrelay/src/connection/caller/readBody.ts
+++ b/packages/almondrelay/src/connection/caller/readBody.ts
@@ -1,6 +1,6 @@
 const NO_BODY = new Uint8Array(0)
 
-/** Reads a body whole; undefined as soon as it is longer than `maxBytes`. */
+/** Reads the whole body; returns undefined if the stated or the actual length exceeds `maxBytes`. */
 export async function readBody (request: Request, maxBytes: number): Promise<Uint8Array | undefined> {
   if (request.method === 'GET' || request.method === 'HEAD') return NO_BODY
   const stated = Number(request.headers.get('content-length') ?? 0)
--- a/packages/almondrelay/src/connection/caller/toHttpResponse.ts
+++ b/packages/almondrelay/src/connection/caller/toHttpResponse.ts
@@ -3,10 +3,10 @@
 
 /** Statuses whose answers have no body (RFC 9110, sections 15.3.5 and 15.4.5). */
 const BODILESS: ReadonlySet<number> = new Set([204, 205, 304])
-/** A status that HTTP has no name for: the caller went away, nobody reads it. */
+/** Internal status for a caller that closed its connection. HTTP defines no such status, so 503 is sent instead, which nobody reads. */
 const CLIENT_CLOSED = 499
 
-/** An answer as the caller gets it. */
+/** Converts an answer to the HTTP response that the caller receives. */
 export function toHttpResponse (answer: Answer, host: string): Response {
   const headers = new Headers()
   for (const { name, value } of answer.headers) headers.append(name, value)
--- a/packages/almondrelay/src/connection/exchange/__fixtures__/fakeFleet.ts
+++ b/packages/almondrelay/src/connection/exchange/__fixtures__/fakeFleet.ts
@@ -31,19 +31,19 @@
   hub: ExchangeHub
   events: MembershipEvent[]
   refusals: PeerRefusal[]
-  /** Each revision that was in force, in order. */
+  /** Each revision that the store adopted, in order. */
   revisions: number[]
   endpoint: { isFrozen: boolean, isDead: boolean }
   owner: AbortController
 }
 
-/** Entry hosts with their membership, configuration and exchanges, over a fake network and platform. */
+/** Runs entry hosts with their membership, configuration and exchanges on a fake network and platform. */
 export class FakeFleet {
   readonly clock = new FakeClock()
   readonly platform = new FakePlatform(this.clock)
   readonly network: FakeNetwork
   readonly hosts = new Map<string, FleetHost>()
-  /** Hosts that neither reach the platform nor are reached by it. */
+  /** Hosts that can't reach the platform. */
   readonly cutFromPlatform = new Set<string>()
   private nextPort = 1
 
@@ -51,7 +51,7 @@
     this.network = new FakeNetwork(this.clock, createSeededRandom(seed))
   }
 
-  /** Hosts `<region>-<zone>-<n>` for each zone named `<region>-<zone>`; all know all from settings. */
+  /** Starts hosts `<region>-<zone>-<n>` for each zone `<region>-<zone>`; each knows all others from its settings. */
   startZones (zones: readonly string[], hostsAZone: number): void {
     const names = zones.flatMap((zone) => Array.from({ length: hostsAZone }, (_, index) => `${zone}-${String(index + 1).padStart(2, '0')}`))
     for (const name of names) this.startHost(name, names)
@@ -118,7 +118,7 @@
     return found
   }
 
-  /** The process ends at once; its address refuses connections from then on. */
+  /** Ends the process at once; its address refuses connections afterwards. */
   killHost (host: string): void {
     this.getHost(host).owner.abort()
     this.getHost(host).endpoint.isDead = true
--- a/packages/almondrelay/src/connection/exchange/__fixtures__/fakeNetwork.ts
+++ b/packages/almondrelay/src/connection/exchange/__fixtures__/fakeNetwork.ts
@@ -16,26 +16,26 @@
 interface Endpoint {
   host: string
   hub: ExchangeHub
-  /** A paused process: its kernel takes connections, and nothing answers. */
+  /** Whether the process is paused: its kernel accepts connections, and nothing answers. */
   isFrozen: boolean
   isDead: boolean
 }
 
 type CallOptions = { signal?: AbortSignal, timeoutMs?: number } | undefined
 
-/** Peers that reach each other in memory, in virtual time, with every message through the codec. */
+/** Connects peers in memory and virtual time; every message is encoded and decoded. */
 export class FakeNetwork {
   readonly endpoints = new Map<string, Endpoint>()
-  /** Bytes of messages by host, sent and received. */
+  /** Bytes of messages sent and received by each host. */
   readonly bytes = new Map<string, number>()
   readonly exchanges = new Map<string, number>()
   /** Whether messages between two hosts are dropped. */
   isCut: (from: string, to: string) => boolean = () => false
-  /** Whether calls that one host begins to another are lost, though those the other way succeed. */
+  /** Whether calls from one host to another are lost, though calls in the other direction succeed. */
   isCutForCalls: (from: string, to: string) => boolean = () => false
-  /** Whether a device between two hosts refuses connections in the name of the one that is called. */
+  /** Whether a device between two hosts refuses connections in place of the called host. */
   isRejected: (from: string, to: string) => boolean = () => false
-  /** Share of calls whose answer is lost. */
+  /** Share of calls whose answers are lost. */
   lossShare = 0
 
   constructor (private readonly clock: FakeClock, private readonly random: Random) {}
--- a/packages/almondrelay/src/connection/exchange/__tests__/fleetFaults.test.ts
+++ b/packages/almondrelay/src/connection/exchange/__tests__/fleetFaults.test.ts
@@ -21,7 +21,7 @@
 interface Run {
   fleet: FakeFleet
   dead: Set<string>
-  /** Hosts that were ended, each time once. */
+  /** Hosts whose process was killed, with one entry for each kill. */
   ended: string[]
   frozen: Set<string>
   cutZones: Set<string>
@@ -73,10 +73,10 @@
   applyCuts(run)
 }
 
-// Hosts die, restart, freeze and wake, zones are cut off, the platform comes and goes and answers
-// are lost, in any order, while operators write. No host may be taken for dead that did not end, no
-// revision may step back, no host may be ready before it has one, and when all is mended every host
-// must have every change that was accepted, and see every other one.
+// Hosts end, restart, freeze and wake, zones are disconnected, the platform fails and recovers and answers
+// are lost, in any order, while operators write. No host may be declared gone that did not end, no
+// revision may go back, no host may be ready before it has a configuration, and after recovery every host
+// must have every accepted change and see every other host as live.
 test('evidence, revisions and repair hold under any order of faults (seed 15)', async () => {
   await fc.assert(fc.asyncProperty(fc.array(faultStep, { minLength: 4, maxLength: 16 }), async (steps) => {
     const fleet = new FakeFleet()
--- a/packages/almondrelay/src/connection/exchange/__tests__/handleExchange.test.ts
+++ b/packages/almondrelay/src/connection/exchange/__tests__/handleExchange.test.ts
@@ -60,7 +60,7 @@
   fleet.stopAll()
 })
 
-test('garbage in any field of a heartbeat is taken or refused, and never thrown otherwise (seed 13)', async () => {
+test('a heartbeat with arbitrary values in any field is accepted or refused, and causes no other error (seed 13)', async () => {
   const { fleet, host } = await startReadyHost()
   const word = fc.record({
     host: fc.oneof(fc.string(), fc.constantFrom('akl-a-01', 'akl-a-02')),
@@ -82,9 +82,9 @@
   fleet.stopAll()
 })
 
-// A peer claims revision 900 and has nothing to show for it. A host that believed it would wait
-// for changes that never come, or take what the peer makes up.
-test('a revision from the future is asked for change by change, and not believed', async () => {
+// A peer states revision 900 without having its changes. A host that trusted the number would wait
+// for changes that never arrive, or adopt invented ones.
+test('a revision that a peer can not prove is fetched change by change, and not trusted', async () => {
   const { fleet, host } = await startReadyHost()
   const liar = fleet.startHost('akl-a-02', ['akl-a-01'])
   await fleet.clock.advance(2_000)
--- a/packages/almondrelay/src/connection/exchange/__tests__/realPeers.test.ts
+++ b/packages/almondrelay/src/connection/exchange/__tests__/realPeers.test.ts
@@ -15,7 +15,7 @@
 
 const clock = new SystemClock()
 
-/** Starts a peer that knows the address of `seed`, if any, and makes itself known to it. */
+/** Starts a peer that knows the address of `seed`, if given, and exchanges heartbeats with it. */
 async function startPeer (host: string, seed?: { host: string, peerAddress: string }) {
   const owner = new AbortController()
   const paused = new AbortController()
@@ -49,7 +49,7 @@
     owner.abort()
     await task
   }
-  /** Takes connections and requests from now on, and neither answers nor speaks. */
+  /** From now on accepts connections and requests, but neither answers nor sends messages. */
   const stopAnswering = () => { paused.abort() }
   return { host, peerAddress, membership, stop, stopAnswering }
 }
@@ -58,10 +58,10 @@
   while (membership.getMember(host, clock.getNow())?.state !== state) await clock.sleep(10, new AbortController().signal)
 }
 
-// A host's process ends: its sockets are closed and its port refuses connections. Over HTTP/2 and
-// connect the refusal arrives wrapped in other errors; taken for mere silence, what the host held
-// would stay held until every lease has run out.
-test('the end of a peer on real sockets is found as gone, and one that takes connections and is silent as suspected', async () => {
+// A host's process ends: its sockets are closed and its port refuses connections. HTTP/2 and Connect wrap the refused
+// connection in other errors. If it were taken for a missing answer, the slots and capacity that the host held would stay
+// unavailable until every lease has expired.
+test('on real sockets a peer whose process ends is gone, and one that accepts connections but does not answer is suspected', async () => {
   const first = await startPeer('akl-a-1')
   const second = await startPeer('akl-a-2', first)
   const third = await startPeer('akl-a-3', first)
--- a/packages/almondrelay/src/connection/exchange/__tests__/runExchanges.test.ts
+++ b/packages/almondrelay/src/connection/exchange/__tests__/runExchanges.test.ts
@@ -25,8 +25,8 @@
   fleet.stopAll()
 })
 
-// An operator applies a change and waits for status to say that it is in force everywhere. It is,
-// but the host that was asked would wait for word of hosts that it has no exchange with.
+// An operator applies a change and waits until status shows that it is in force everywhere. The host that
+// serves the status could wait too long for reports of hosts with which it has no exchange.
 test('a host of a fleet of twelve knows within 5 s that every host has a change', async () => {
   const fleet = await startFleet([...ZONES, 'wlg-b', 'chc-a', 'chc-b'], 2)
   await fleet.getHost('wlg-a-02').changeLog.submit(makeWrite('w1', 'akl'), never)
@@ -38,8 +38,8 @@
   fleet.stopAll()
 })
 
-// A host's process dies. Its callers wait until its neighbours know; its address refuses
-// connections, so they must know for sure within a second, and so must every other host.
+// A host's process ends, and its callers wait until its neighbours have detected it. Its address refuses
+// connections, so the neighbours must declare it gone within a second, and so must every other host.
 test('a dead process is known as gone within a second of virtual time', async () => {
   const fleet = await startFleet(ZONES, 3)
   fleet.killHost('akl-a-02')
@@ -48,8 +48,8 @@
   fleet.stopAll()
 })
 
-// A process is paused for a minute and wakes. While it sleeps its kernel takes connections. If the
-// others held it for dead they would free what it holds, and it would wake still holding it.
+// A process is paused for a minute and resumes. While it is paused its kernel accepts connections. If the
+// other hosts declared it gone, they would free what it holds, and it would still hold it after resuming.
 test('a frozen process is only suspected, and live again after it wakes', async () => {
   const fleet = await startFleet(ZONES, 3)
   fleet.getHost('akl-a-02').endpoint.isFrozen = true
@@ -65,10 +65,10 @@
   fleet.stopAll()
 })
 
-// One host makes a planned stop and says that it is gone, and goes on answering heartbeats until it
-// ends. The others took their own judgement of it for a refusal of themselves and stopped too, one
-// after the other, through the whole fleet (seen with ten real processes).
-test('a host that announces its end takes no other with it', async () => {
+// A host makes a planned stop and announces that it is gone, but answers heartbeats until its process
+// ends. The other hosts refused its answers, took their own refusal for one by the peer, and stopped too, one
+// after the other, in the whole fleet (seen with ten real processes).
+test('a host that announces its end stops no other host', async () => {
   const fleet = await startFleet(ZONES, 2)
   fleet.getHost('akl-a-01').membership.updateSelf({ isGone: true })
   await fleet.clock.advance(5_000)
@@ -80,9 +80,9 @@
   fleet.stopAll()
 })
 
-// Packets from one host to another are lost, and those the other way arrive. The one whose packets
-// are lost would go on sending work into the cut, as the other still speaks to it.
-test('a host that can not be reached is suspected by the one that can not, though it speaks', async () => {
+// Packets from one host to another are lost, and those in the other direction arrive. The host whose packets
+// are lost would go on sending work to the other one, because it still receives messages from it.
+test('a host is suspected by a peer that can not reach it, though its messages arrive', async () => {
   for (const [from, to] of [['akl-a-01', 'akl-a-02'], ['akl-a-02', 'akl-a-01']] as const) {
     const fleet = await startFleet(ZONES, 3)
     fleet.network.isCutForCalls = (caller, callee) => caller === from && callee === to
@@ -96,9 +96,9 @@
   }
 })
 
-// A firewall between two zones refuses connections in the name of live hosts for a while. Each side took that for the
-// end of the other's processes; when it was lifted, each refused the other as declared gone, and every host
-// of both sides stopped.
+// A firewall between two zones refuses connections in place of live hosts for a while. Each side took that for the
+// end of the other's processes; when the firewall rule was removed, each refused the other as declared gone, and every host
+// on both sides stopped.
 test('refused connections between zones end no live host', async () => {
   const fleet = await startFleet(ZONES, 2)
   const isAround = (host: string): boolean => host.startsWith('wlg-a')
@@ -112,8 +112,8 @@
   fleet.stopAll()
 })
 
-// Both watchers of a zone die one after the other. Changes must go on arriving in the zone: the
-// next hosts by rank watch in their place.
+// Both watchers of a zone end one after the other. The zone must still receive changes: the
+// next hosts by rank become watchers.
 test('watchers that die are replaced', async () => {
   const fleet = await startFleet(['akl-a'], 4)
   const getWatchers = () => fleet.getHost('akl-a-04').membership.chooseWatchers('akl-a', fleet.clock.getNow())
@@ -129,7 +129,7 @@
   fleet.stopAll()
 })
 
-// The platform is down for an hour. Hosts serve on, and one of them is replaced: the new process
+// The platform is down. Hosts continue to serve, and one of them is replaced: the new process
 // must not serve before it has the configuration, and gets it from a peer of its zone.
 test('a host that restarts during an outage takes the configuration from a peer', async () => {
   const fleet = await startFleet(ZONES, 2)
@@ -166,7 +166,7 @@
 })
 
 // A zone can't reach the platform, and its watches report nothing. Its hosts would serve an old
-// configuration for good, if heartbeats did not name the revision and changes came from peers.
+// configuration indefinitely if heartbeats did not state the revision and changes were not fetched from peers.
 test('a zone that is cut from the platform gets changes from the other zones', async () => {
   const fleet = await startFleet(ZONES, 2)
   fleet.cutFromPlatform.add('akl-b-01').add('akl-b-02')
@@ -176,9 +176,9 @@
   fleet.stopAll()
 })
 
-// A zone is cut off from everything, misses changes, and comes back. It must serve on meanwhile,
-// be named as unreachable by the others, never step back, and catch up afterwards.
-test('a zone that is cut off whole serves on and catches up', async () => {
+// A zone is disconnected from the platform and all other zones, misses changes, and is reconnected. In the meantime it
+// must continue to serve and other zones must suspect its hosts; its revision must never go back and must be current afterwards.
+test('a zone that is disconnected from all others continues to serve and catches up', async () => {
   const fleet = await startFleet(ZONES, 2)
   await fleet.getHost('akl-a-01').changeLog.submit(makeWrite('w1', 'akl'), never)
   await fleet.clock.advance(2_000)
@@ -198,9 +198,9 @@
   fleet.stopAll()
 })
 
-// A target says that it is leaving to the one host that probes it. Every host must stop sending
-// it work within 3 s.
-test('word of a leaving target reaches every host within 3 s', async () => {
+// A target reports that it is leaving to the only host that probes it. Every host must know
+// within 3 s, so that it stops sending work to the target.
+test('a leaving target is known to every host within 3 s', async () => {
   const fleet = await startFleet(ZONES, 3)
   fleet.getHost('akl-a-03').leavingTargets.observe({ service: 'balances', target: 't1', isLeaving: true, ageMs: 0 }, fleet.clock.getNow())
   fleet.getHost('akl-a-03').hub.wakePeers()
--- a/packages/almondrelay/src/connection/exchange/createPeerSources.ts
+++ b/packages/almondrelay/src/connection/exchange/createPeerSources.ts
@@ -4,8 +4,8 @@
 type Source = (signal: AbortSignal) => Promise<boolean>
 
 /**
- * The neighbours as sources of an empty host's first configuration, for `loadFirstConfiguration`.
- * One that has none itself refuses, and so doesn't count as an answer.
+ * Returns the neighbours as sources for `loadFirstConfiguration`, from which a host that has no configuration loads it.
+ * A neighbour that has no configuration either refuses, so its source rejects and doesn't count as an answer.
  */
 export function createPeerSources (hub: ExchangeHub): Source[] {
   const { membership, clock, createClient } = hub.options
--- a/packages/almondrelay/src/connection/exchange/decodeSender.ts
+++ b/packages/almondrelay/src/connection/exchange/decodeSender.ts
@@ -6,7 +6,7 @@
 import { PeerRefusal } from './peerRefusal.js'
 import { PROTOCOL_VERSION } from '../../process/dispatch/protocolVersion.js'
 
-/** Who sent a message; a missing or malformed sender, or one of another protocol version, is refused. */
+/** Decodes the sender of a message; throws a refusal if it is missing, malformed or of another protocol version. */
 export function decodeSender (sender: Sender | undefined, revision: bigint): HeartbeatSender {
   if (sender === undefined) throw makeRefusal(PeerRefusal.malformed, 'the message names no sender')
   if (sender.protocolVersion !== PROTOCOL_VERSION) throw makeRefusal(PeerRefusal.protocolVersion, `the message has protocol version ${sender.protocolVersion}, this host ${PROTOCOL_VERSION}`)
--- a/packages/almondrelay/src/connection/exchange/decodeSummary.ts
+++ b/packages/almondrelay/src/connection/exchange/decodeSummary.ts
@@ -10,7 +10,7 @@
 const MAX_LOADS = 256
 const Address = TargetSpec.shape.address
 
-/** A summary out of a peer's message; a malformed one is refused. */
+/** Decodes a host summary from a peer's message; throws a refusal if the summary is malformed. */
 export function decodeSummary (summary: HostSummary): Summary {
   const names = [summary.host, summary.availabilityZone, summary.region]
   const isSound = names.every((name) => ResourceName.safeParse(name).success) && isAddress(summary.callerAddress) && isAddress(summary.peerAddress) && summary.loads.length <= MAX_LOADS
--- a/packages/almondrelay/src/connection/exchange/encodeSummary.ts
+++ b/packages/almondrelay/src/connection/exchange/encodeSummary.ts
@@ -4,7 +4,7 @@
 import type { Summary } from '../../process/membership/summary.js'
 import { LONGEST_AGE_MS } from './longestAgeMs.js'
 
-/** A summary as it travels. The age of a silent host stands above `LONGEST_AGE_MS`. */
+/** Encodes a host summary for a message to a peer. The age of a host that sends no reports is encoded above `MAX_SUMMARY_AGE_MS`. */
 export function encodeSummary (summary: Summary): HostSummary {
   const ageMs = Math.min(summary.ageMs, LONGEST_AGE_MS)
   return create(HostSummarySchema, {
--- a/packages/almondrelay/src/connection/exchange/exchangeHub.ts
+++ b/packages/almondrelay/src/connection/exchange/exchangeHub.ts
@@ -18,15 +18,15 @@
 import { PROTOCOL_VERSION } from '../../process/dispatch/protocolVersion.js'
 import { RefreshRotation } from './refreshRotation.js'
 
-/** News in one message: at about 90 bytes each, under 750 bytes. */
+/** Maximum number of updates in one message: at about 90 bytes each, under 750 bytes. */
 const MAX_NEWS = 8
-/** Summaries or targets that a message may bring. */
+/** Maximum number of summaries, and of leaving targets, in a received message. */
 const MAX_RECEIVED = 256
-/** What is kept of a peer that no longer speaks, so that it isn't told everything anew. */
+/** Time for which the progress of a peer that sends no messages is kept, so that it needn't be sent everything again when it is back. */
 const KEEP_PEER_MS = 600_000
-/** Time for which a host that came with a newer revision is kept as a neighbour, to fetch it. */
+/** Time for which a host that sent a newer revision stays a temporary neighbour, so that its changes can be fetched. */
 const VISIT_MS = 2_000
-/** A repair that takes longer no longer keeps others from fetching, as its peer may be paused. */
+/** A repair blocks repairs from other peers for at most this long, as its peer may be paused. */
 const REPAIR_ALONE_MS = 500
 
 const refusals: Record<Exclude<HeartbeatVerdict, 'accepted'>, PeerRefusal> = {
@@ -36,9 +36,9 @@
 }
 
 /**
- * What goes to each peer and what comes from it. A message brings the news that the peer doesn't
- * have yet and, every second or two, this host's own summary and up to five others in turn; so its
- * length depends on what changes and not on how many hosts there are.
+ * Builds the messages to each peer and processes those received from it. A message contains the updates that the peer
+ * doesn't have yet and, every second or two, this host's own summary and up to five others in rotation. Its length
+ * therefore depends on the number of changes and not on the number of hosts.
  */
 export class ExchangeHub {
   private readonly peers = new Map<string, PeerProgress>()
@@ -65,7 +65,7 @@
     return progress
   }
 
-  /** How many neighbours there are, over which refreshes are divided. */
+  /** Sets the number of neighbours, which determines the interval and length of refreshes. */
   setPeerCount (count: number): void {
     this.peerCount = count
   }
@@ -76,7 +76,7 @@
     }
   }
 
-  /** Hosts that lately came with a newer revision, whether or not they are planned neighbours. */
+  /** Lists the hosts that recently sent a newer revision than the one in this store, whether or not they are planned neighbours. */
   listVisitors (now: number): Neighbour[] {
     const { membership, store, heartbeatMs } = this.options
     return [...this.peers]
@@ -85,7 +85,7 @@
       .filter((neighbour) => neighbour.peerAddress !== '')
   }
 
-  /** Whether to fetch changes from a peer now: it has some, and no other fetch is under way. */
+  /** Whether to fetch changes from a peer now: the peer has newer ones, its last fetch did not fail recently, and no other fetch is in progress. */
   allowRepair (host: string, now: number): boolean {
     const progress = this.getProgress(host)
     return progress.revision > this.options.store.current.revision && now >= progress.distrustedUntil && now - this.repairBegunAt > REPAIR_ALONE_MS
@@ -100,7 +100,7 @@
     this.wakePeers()
   }
 
-  /** Calls `wake` whenever there is something to tell the peer, until the returned function is called. */
+  /** Calls `wake` whenever there may be something to send to the peer or to fetch from it, until the returned function is called. */
   registerWaker (host: string, wake: () => void): () => void {
     this.wakers.set(host, wake)
     return () => { if (this.wakers.get(host) === wake) this.wakers.delete(host) }
@@ -110,7 +110,7 @@
     for (const wake of [...this.wakers.values()]) wake()
   }
 
-  /** Whether to tell the peer before its next heartbeat. A long backlog, as of a new peer, goes with the heartbeats. */
+  /** Whether to send updates to the peer before its next heartbeat is due. A long queue of updates is sent with the regular heartbeats. */
   hasNews (host: string): boolean {
     const progress = this.getProgress(host)
     const { membership, leavingTargets, store } = this.options
@@ -154,8 +154,8 @@
   }
 
   /**
-   * Checks a message whole, then takes what it says. Throws the refusal otherwise. `confirm` notes
-   * what the message proves that the peer has.
+   * Validates the whole message before applying any of it; throws a refusal if it is invalid. `confirm` records which
+   * updates the peer is known to have according to this message.
    */
   receiveWord (message: ExchangeRequest | ExchangeResponse, now: number, confirm: (progress: PeerProgress, told: Summary | undefined) => void): HeartbeatSender {
     const { membership, leavingTargets } = this.options
@@ -170,7 +170,7 @@
     confirm(progress, told)
     for (const summary of summaries) if (summary.host !== sender.host) membership.observeSummary(summary, now)
     for (const each of message.leavingTargets) this.observeTarget(each, now)
-    // What the peer has just told needs no telling back, unless older news is still on its way to it.
+    // Updates received from the peer need not be sent back to it, unless older updates to it are still unconfirmed.
     if (progress.confirmed >= before.news) progress.confirmed = membership.news.latest
     if (progress.confirmedTargets >= before.targets) progress.confirmedTargets = leavingTargets.news.latest
     return sender
@@ -186,8 +186,8 @@
   }
 
   /**
-   * A new peer gets the news from now on as it comes, and what was known before as room is left,
-   * its own zone first: were it one queue, news would wait behind thousands of hosts.
+   * A new peer is sent new updates as they occur, and the hosts known before as far as messages have room, those of its own
+   * zone first. In a single queue, new updates would wait behind thousands of hosts.
    */
   private beginProgress (peer: HeartbeatSender): PeerProgress {
     const hosts = this.options.membership.listHosts()
--- a/packages/almondrelay/src/connection/exchange/exchangeOptions.ts
+++ b/packages/almondrelay/src/connection/exchange/exchangeOptions.ts
@@ -8,18 +8,18 @@
 import type { Clock } from '../../process/platform/clock.js'
 import type { PeerRefusal } from './peerRefusal.js'
 
-/** What the exchange with peers works on. */
+/** Dependencies and settings of the exchange with peers. */
 export interface ExchangeOptions extends MembershipOptions {
   membership: Membership
   leavingTargets: LeavingTargets
   store: ConfigurationStore
   clock: Clock
   log: Logger
-  /** A client of the peer at an address; the signal closes its connection. */
+  /** Creates a client of the peer at an address; the signal closes its connection. */
   createClient: (peerAddress: string, signal: AbortSignal) => Client<typeof PeerService>
   /**
-   * A peer refuses this process for what it is. After `stale-incarnation` or `declared-gone` the
-   * process must stop: what it held may be another's by now.
+   * Called when a peer refuses a message of this process. After `stale-incarnation` or `declared-gone` the
+   * process must stop, as what it held may have been given to another host.
    */
   handleRefusal: (refusal: PeerRefusal, peer: string) => void
 }
--- a/packages/almondrelay/src/connection/exchange/findRefusal.ts
+++ b/packages/almondrelay/src/connection/exchange/findRefusal.ts
@@ -4,7 +4,7 @@
 
 const REFUSALS: readonly string[] = Object.values(PeerRefusal)
 
-/** The peer's refusal in an error; undefined where the peer did not answer at all. */
+/** Returns the peer's refusal in an error; undefined if the error is not a typed refusal, e.g. because the peer did not answer. */
 export function findRefusal (error: unknown): PeerRefusal | undefined {
   if (!(error instanceof ConnectError)) return undefined
   const refusal = error.metadata.get(REFUSAL_HEADER) ?? ''
--- a/packages/almondrelay/src/connection/exchange/handleExchange.ts
+++ b/packages/almondrelay/src/connection/exchange/handleExchange.ts
@@ -4,10 +4,10 @@
 import type { ExchangeHub } from './exchangeHub.js'
 
 /**
- * Answers a peer's heartbeat; throws a typed refusal.
+ * Handles a peer's heartbeat; throws a typed refusal if the message is invalid.
  *
- * Whether an answer arrives isn't told, so its news counts as known only once the peer's next
- * message comes without the peer's own summary, which it repeats after an exchange that failed.
+ * The answer isn't acknowledged. Its updates count as confirmed only once the peer sends a message without its own
+ * summary, because a peer includes that summary after each failed exchange.
  */
 export function handleExchange (request: ExchangeRequest, hub: ExchangeHub): ExchangeResponse {
   const now = hub.options.clock.getNow()
--- a/packages/almondrelay/src/connection/exchange/handleFetchChanges.ts
+++ b/packages/almondrelay/src/connection/exchange/handleFetchChanges.ts
@@ -9,10 +9,10 @@
 import { PeerRefusal } from './peerRefusal.js'
 
 const MAX_CHANGES = 64
-/** Changes in one answer, but always one; a change may be as long as a megabyte. */
+/** Maximum size of the changes in one answer, which always has at least one change; a change may be as long as a megabyte. */
 const MAX_BYTES = 2 * 1_048_576
 
-/** Answers with the changes after a revision, or with a snapshot where they are no longer kept. */
+/** Returns the changes after a revision, or a snapshot if they are no longer retained. */
 export function handleFetchChanges (request: FetchChangesRequest, hub: ExchangeHub): FetchChangesResponse {
   decodeSender(request.sender, 0n)
   const { store } = hub.options
--- a/packages/almondrelay/src/connection/exchange/longestAgeMs.ts
+++ b/packages/almondrelay/src/connection/exchange/longestAgeMs.ts
@@ -1,6 +1,5 @@
 /**
- * Longest age that a summary states, about 12 days. The protocol has no field for a neighbour's
- * suspicion, so an age above this says that a neighbour finds the host silent, and the age is what
- * is left after this much and one.
+ * Maximum age in a summary, about 12 days. The protocol has no field that says that a neighbour gets no reports from the
+ * host. A value above this maximum says so; the age is then the value minus this maximum minus 1.
  */
 export const LONGEST_AGE_MS = 2 ** 30 - 1
--- a/packages/almondrelay/src/connection/exchange/makeRefusal.ts
+++ b/packages/almondrelay/src/connection/exchange/makeRefusal.ts
@@ -21,7 +21,7 @@
   [PeerRefusal.notReady]: 'ask another host: this one has no configuration yet'
 }
 
-/** The typed refusal of a peer's message, with the remedy in its message. */
+/** Creates the typed refusal of a peer's message; the error text includes the remedy. */
 export function makeRefusal (refusal: PeerRefusal, found: string): ConnectError {
   return new ConnectError(`${found}: ${remedies[refusal]}`, codes[refusal], { [REFUSAL_HEADER]: refusal })
 }
--- a/packages/almondrelay/src/connection/exchange/measureExchangeBytes.ts
+++ b/packages/almondrelay/src/connection/exchange/measureExchangeBytes.ts
@@ -7,9 +7,9 @@
 import { encodeSummary } from './encodeSummary.js'
 import { PROTOCOL_VERSION } from '../../process/dispatch/protocolVersion.js'
 
-/** HTTP/2 and connect framing of one exchange, both ways, as counted at a socket; see docs/design/membership.md. */
+/** HTTP/2 and Connect framing of one exchange, in both directions, as measured at a socket; see docs/design/membership.md. */
 const FRAMING_BYTES = 102
-/** Time between two calls of a host on a watcher that isn't its neighbour, for each host of the zone. */
+/** Time between two calls of a host to a watcher that isn't its planned neighbour, for each host of the zone. */
 const VISIT_INTERVAL_A_HOST_MS = 340
 const INCARNATION = 1_790_000_000_000
 
@@ -17,25 +17,25 @@
   regions: number
   zonesARegion: number
   hostsAZone: number
-  /** Services whose load a summary states. */
+  /** Number of services whose load a summary contains. */
   services: number
 }
 
 interface ExchangeCost {
   neighbours: number
   exchangesASecond: number
-  /** One message without news, and the summaries of a refresh. */
+  /** Size of a message without updates; `refreshBytes` is the size of the summaries that a refresh adds. */
   heartbeatBytes: number
   refreshBytes: number
-  /** Sent and received together, without TCP and IP. */
+  /** Bytes sent plus bytes received, without TCP and IP headers. */
   bytesASecond: number
 }
 
-/** What heartbeats cost a watcher of its zone, which has the most peers, in a fleet where nothing changes. */
+/** Computes the bytes that heartbeats cost a watcher of a zone, which has the most peers, in a fleet without changes. */
 export function measureExchangeBytes (size: FleetSize): ExchangeCost {
   const hosts = listHosts(size)
   const [self, ...others] = hosts
-  if (self === undefined) throw new Error('a fleet has a host')
+  if (self === undefined) throw new Error('the fleet has no hosts')
   const membership = new Membership({ self, heartbeatMs: 250, suspectAfterMs: 1_000 })
   for (const other of others) membership.observeSummary(other, 1)
   const plan = membership.planNeighbours(1)
--- a/packages/almondrelay/src/connection/exchange/outgoingWord.ts
+++ b/packages/almondrelay/src/connection/exchange/outgoingWord.ts
@@ -1,11 +1,11 @@
 import type { HostSummary, LeavingTarget, Sender } from 'almondrelay-protocol'
 
-/** What a request and a response of an exchange have alike, and how far the news in it goes. */
+/** Fields common to the request and the response of an exchange, and the numbers of the last updates in it. */
 export interface OutgoingWord {
   word: { sender: Sender, revision: bigint, hosts: HostSummary[], leavingTargets: LeavingTarget[] }
   revision: number
   upTo: number
-  /** Hosts of the backlog that are left once this has arrived. */
+  /** Hosts that remain in the backlog once this message has arrived. */
   backlogLeft: number
   upToTargets: number
 }
--- a/packages/almondrelay/src/connection/exchange/peerProgress.ts
+++ b/packages/almondrelay/src/connection/exchange/peerProgress.ts
@@ -1,30 +1,33 @@
 import type { RefreshRotation } from './refreshRotation.js'
 
-/** How far a peer has this host's news. */
+/** Records which of this host's updates a peer has. */
 export interface PeerProgress {
-  /** Incarnation of the peer that this holds for; 0 before it was heard. */
+  /** Incarnation of the peer to which this record belongs; 0 before the first message from the peer. */
   incarnation: number
-  /** News that it has for sure. */
+  /** Number of the last update of hosts that the peer is known to have. */
   confirmed: number
+  /** Number of the last update of leaving targets that the peer is known to have. */
   confirmedTargets: number
-  /** Hosts known before it was, still to be told, the last one first. */
+  /** Hosts known before the peer was, whose summaries are still to be sent; sent from the end of the list. */
   backlog: string[]
-  /** How many of these are left once the last answer to it has arrived. */
+  /** Length of the backlog once the last answer to the peer has arrived. */
   offeredBacklogLeft: number
-  /** News in the last answer to it, which it may have. */
+  /** Number of the last update of hosts in the last answer to the peer, which may not have arrived. */
   offered: number
+  /** The same for updates of leaving targets. */
   offeredTargets: number
-  /** Last message from it, asked or answered. */
+  /** Time of the last message from the peer, whether request or answer. */
   contactAt: number
+  /** Time at which the last refresh was included in a message to the peer. */
   refreshedAt: number
-  /** The hosts that it hears of in turn. */
+  /** Selects the hosts whose summaries are sent in refreshes. */
   rotation: RefreshRotation
-  /** The last exchange with it failed, or there was none. */
+  /** Whether the last exchange with the peer failed, or there was none yet. */
   isBroken: boolean
-  /** The revision that it last named. */
+  /** Revision in the last message from the peer. */
   revision: number
-  /** The revision that it was last told of. */
+  /** Revision in the last message that the peer received from this host. */
   toldRevision: number
-  /** It named a revision that it couldn't show; it isn't asked for changes before. */
+  /** Time before which no changes are fetched from the peer, because its last fetch failed or did not prove the stated revision. */
   distrustedUntil: number
 }
--- a/packages/almondrelay/src/connection/exchange/peerRefusal.ts
+++ b/packages/almondrelay/src/connection/exchange/peerRefusal.ts
@@ -1,4 +1,4 @@
-/** Why a host refused what a peer sent; travels in the error's metadata. */
+/** Reason for which a host refused a peer's message; sent in the error's metadata. */
 const PeerRefusal = {
   protocolVersion: 'protocol-version',
   malformed: 'malformed',
--- a/packages/almondrelay/src/connection/exchange/refreshRotation.ts
+++ b/packages/almondrelay/src/connection/exchange/refreshRotation.ts
@@ -1,12 +1,12 @@
 import type { Membership } from '../../process/membership/membership.js'
 
-/** Hosts of other zones in one round, at least; in a small fleet that is all of them. */
+/** Minimum number of hosts of other zones in one round; in a small fleet these are all of them. */
 const FEWEST_OTHERS = 20
 
 /**
- * Hosts whose summary goes to one peer in turn. A round has each host of the own zone once and as
- * many of the others, where the round before left off; so the own zone is heard of soon in a fleet
- * of any size.
+ * Selects in rotation the hosts whose summaries are sent to one peer. A round contains each host of the own zone once and
+ * as many hosts of other zones, continuing where the previous round stopped. Summaries of the own zone are therefore sent
+ * often in a fleet of any size.
  */
 export class RefreshRotation {
   private round: string[] = []
@@ -16,7 +16,7 @@
 
   takeNext (peer: string, count: number): string[] {
     const taken: string[] = []
-    // The hosts that have come furthest go first, so that status soon tells of a change that is in force.
+    // Hosts with the highest revision are sent first, so that status soon shows that a change is in force.
     this.round.sort((a, b) => this.membership.getRevision(a) - this.membership.getRevision(b))
     while (taken.length < count) {
       if (this.round.length === 0) this.fillRound(peer)
--- a/packages/almondrelay/src/connection/exchange/refusalHeader.ts
+++ b/packages/almondrelay/src/connection/exchange/refusalHeader.ts
@@ -1,2 +1,2 @@
-/** Metadata of an error that names the `PeerRefusal`. */
+/** Metadata key of an error whose value is the `PeerRefusal`. */
 export const REFUSAL_HEADER = 'almondrelay-refusal'
--- a/packages/almondrelay/src/connection/exchange/repairFromPeer.ts
+++ b/packages/almondrelay/src/connection/exchange/repairFromPeer.ts
@@ -19,10 +19,10 @@
 })
 
 /**
- * Brings the store up to what a peer has. A revision that a peer names is not believed: each
- * change after the own one is fetched, checked and adopted in its place, so a peer that claims a
- * revision which it can't show changes nothing. Rejects where the peer doesn't answer, refuses, or
- * shows less than it claims.
+ * Fetches from a peer the changes that the store lacks. The revision that a peer states is not trusted: each
+ * change after the store's revision is fetched, checked and adopted in order, so a peer that states a
+ * revision without having its changes has no effect. Rejects if the peer doesn't answer, refuses, or
+ * has fewer changes than it states.
  */
 export async function repairFromPeer (client: Client<typeof PeerService>, hub: ExchangeHub, signal: AbortSignal): Promise<void> {
   const { store } = hub.options
@@ -39,7 +39,7 @@
 function adoptResponse (response: FetchChangesResponse, store: ConfigurationStore): void {
   if (response.snapshot !== '') store.adoptSnapshot(decodeSnapshot(response))
   for (const { revision, writeId, body } of response.changes) {
-    // The store may have moved on through the platform or another peer meanwhile.
+    // The store may have adopted changes from the platform or another peer in the meantime.
     if (revision !== BigInt(store.current.revision + 1)) continue
     const change = decodeChange(body, Number(revision))
     if (change.writeId !== writeId) throw makeUnshown(revision, store.current.revision)
@@ -56,7 +56,7 @@
 function makeUnshown (claimed: bigint, shown: number): AlmondrelayError {
   return new AlmondrelayError({
     kind: ErrorKind.peerRefused,
-    message: `a peer claims revision ${claimed} and shows no more than ${shown}`,
-    remedy: 'look at the log of that host; nothing of the claim was taken'
+    message: `a peer states revision ${claimed} but proves no revision after ${shown}`,
+    remedy: 'check the log of that host; no unproven change was adopted'
   })
 }
--- a/packages/almondrelay/src/connection/exchange/runExchanges.ts
+++ b/packages/almondrelay/src/connection/exchange/runExchanges.ts
@@ -3,8 +3,8 @@
 import { runPeerExchange } from './runPeerExchange.js'
 
 /**
- * Neighbours are planned anew where something changed, and this often otherwise, to try other hosts
- * that are silent or were never heard: a plan looks at every known host, 3 ms of work at 4,800.
+ * Interval at which neighbours are planned again if nothing has changed, so that other hosts from which no reports
+ * arrive, or never did, are tried. A plan considers every known host, which takes 3 ms for 4,800 hosts.
  */
 const REPLAN_MS = 2_000
 
@@ -14,7 +14,7 @@
   task: Promise<void>
 }
 
-/** Keeps one task for each neighbour that the membership plans, and none for the others. */
+/** Runs one exchange task for each planned or temporary neighbour, until the signal aborts. */
 export async function runExchanges (hub: ExchangeHub, signal: AbortSignal): Promise<void> {
   const { membership, leavingTargets, clock, heartbeatMs } = hub.options
   const running = new Map<string, RunningExchange>()
@@ -26,7 +26,7 @@
     membership.advance(now)
     leavingTargets.expire(now)
     hub.prunePeers(now)
-    // A visitor comes first, so that the plan's own interval holds where a host is both.
+    // Temporary neighbours come first: where a host is also a planned neighbour, the later entry with the planned interval applies.
     if (membership.news.latest !== plannedNews || now - plannedAt >= REPLAN_MS) {
       plan = membership.planNeighbours(now)
       plannedAt = now
@@ -49,7 +49,7 @@
       continue
     }
     running.delete(host)
-    stopExchange(exchange).catch((error: unknown) => { hub.options.log.error({ err: error, peer: host }, 'exchange ended badly') })
+    stopExchange(exchange).catch((error: unknown) => { hub.options.log.error({ err: error, peer: host }, 'exchange task failed') })
   }
   for (const [host, neighbour] of planned) running.set(host, startExchange({ ...neighbour }, hub))
 }
--- a/packages/almondrelay/src/connection/exchange/runPeerExchange.ts
+++ b/packages/almondrelay/src/connection/exchange/runPeerExchange.ts
@@ -8,21 +8,21 @@
 import { isConnectionRefused } from '../../process/dispatch/isConnectionRefused.js'
 import { repairFromPeer } from './repairFromPeer.js'
 
-/** Shortest time between two exchanges with one peer, however much news there is. */
+/** Minimum time between two exchanges with one peer, however many updates there are. */
 const SHORTEST_GAP_MS = 50
-/** The host that is later by name waits this much longer, so that one exchange serves both. */
+/** Factor by which the host whose name sorts later waits longer, so that one exchange serves both hosts. */
 const SECOND_FACTOR = 1.5
-/** Longest time without a try of one's own, however often the peer calls. */
+/** Maximum time between two exchanges that this host starts, however often the peer calls; the longer of the two bounds applies. */
 const OWN_TRY_MS = 2_000
 const OWN_TRY_FACTOR = 4
-/** A peer whose claim of a revision could not be shown, or that didn't answer, isn't asked for changes before. */
+/** Time before changes are fetched again from a peer that did not answer a fetch or could not prove the revision that it stated. */
 const DISTRUST_MS = 5_000
 
 /**
- * Exchanges heartbeats with one peer, and fetches the changes that it has and this host hasn't.
+ * Exchanges heartbeats with one peer, and fetches the changes that the peer has and this host lacks.
  *
- * Guards against a connection that has gone silent for good while new ones work: after a failed
- * exchange the connection is closed and the next one goes out on a new connection.
+ * Failure: a connection can stop delivering packets for good while new connections work. After a failed exchange the
+ * connection is therefore closed, and the next exchange uses a new one.
  */
 export async function runPeerExchange (peer: Neighbour, hub: ExchangeHub, signal: AbortSignal): Promise<void> {
   const { clock } = hub.options
@@ -60,7 +60,7 @@
   }
   try {
     const sender = hub.receiveWord(response, clock.getNow(), (progress) => {
-      // A process that came after the one that was written to has none of what was told.
+      // The answer comes from a later incarnation than the one to which the message was addressed, so nothing is confirmed.
       if (incarnation !== 0 && progress.incarnation !== incarnation) return
       progress.confirmed = Math.max(progress.confirmed, sent.upTo)
       progress.backlog.length = Math.min(progress.backlog.length, incarnation === 0 ? Infinity : sent.backlogLeft)
@@ -78,17 +78,17 @@
 }
 
 /**
- * Failure: a peer's answer is refused here, as that peer has announced its end, and the refusal is taken
- * for the peer's of this process, which then stops for no reason. It counts as silence of the peer alone.
+ * Handles an answer that this host refuses, e.g. because its sender has announced its end. Failure: if this refusal were
+ * taken for one by the peer, this process would stop without reason. It only counts as a missing report of the peer.
  */
 function observeBadAnswer (error: unknown, peer: Neighbour, hub: ExchangeHub): void {
   const { membership, clock, log } = hub.options
   hub.getProgress(peer.host).isBroken = true
   membership.observeSilence(peer.host, clock.getNow())
-  log.debug({ err: error, peer: peer.host }, 'answer to a heartbeat not taken')
+  log.debug({ err: error, peer: peer.host }, 'heartbeat answer rejected')
 }
 
-/** Tells apart what a failed exchange shows: an ended process, a refusal, or only silence. */
+/** Distinguishes why an exchange failed: the process at the address has ended, the peer refused, or there was no answer. */
 function observeFailure (error: unknown, incarnation: number, peer: Neighbour, hub: ExchangeHub): void {
   const { membership, clock, log, handleRefusal } = hub.options
   const now = clock.getNow()
@@ -108,7 +108,7 @@
     log.info({ peer: peer.host, revision: store.current.revision }, 'changes fetched from peer')
   } catch (error) {
     hub.getProgress(peer.host).distrustedUntil = clock.getNow() + DISTRUST_MS
-    if (!signal.aborted) log.warn({ err: error, peer: peer.host, refusal: findRefusal(error) }, 'changes not fetched from peer')
+    if (!signal.aborted) log.warn({ err: error, peer: peer.host, refusal: findRefusal(error) }, 'fetching changes from peer failed')
   } finally {
     hub.finishRepair()
   }
@@ -120,8 +120,8 @@
 }
 
 /**
- * Waits until the next heartbeat is due, counted from the last message either way, or until there
- * is something to tell the peer or to fetch from it.
+ * Waits until the next heartbeat is due, counted from the last message in either direction, or until there are
+ * updates to send to the peer or changes to fetch from it.
  */
 async function waitForTurn (peer: Neighbour, hub: ExchangeHub, last: LastTry, signal: AbortSignal): Promise<void> {
   const { clock } = hub.options
@@ -134,8 +134,8 @@
 }
 
 /**
- * Guards against a cut in one direction: a peer that reaches this host and can't be reached from it
- * would look live, so its own messages put off a try of this host only for so long.
+ * Failure: messages are lost in one direction only. A peer that reaches this host but can't be reached from it would look
+ * live, so messages from the peer postpone this host's own exchange only up to a maximum time.
  */
 function computeDueAt (peer: Neighbour, hub: ExchangeHub, last: LastTry): number {
   const { intervalMs } = peer
@@ -145,7 +145,7 @@
   return Math.min(contactAt + waitMs, last.at + Math.max(OWN_TRY_MS, intervalMs * OWN_TRY_FACTOR))
 }
 
-/** A peer that doesn't answer gets its news with the next heartbeat, not sooner. */
+/** Whether to start an exchange before the heartbeat is due. After a failed exchange, updates wait for the next heartbeat. */
 function isUrgent (peer: Neighbour, hub: ExchangeHub): boolean {
   if (hub.getProgress(peer.host).isBroken) return false
   return hub.hasNews(peer.host) || hub.allowRepair(peer.host, hub.options.clock.getNow())
--- a/packages/almondrelay/src/connection/limits/__fixtures__/fakeLimitPeers.ts
+++ b/packages/almondrelay/src/connection/limits/__fixtures__/fakeLimitPeers.ts
@@ -7,7 +7,7 @@
 import type { Clock } from '../../../process/platform/clock.js'
 import { LimitPeers } from '../limitPeers.js'
 
-/** Calls straight into the other hosts' slots; names in `cut` neither ask nor answer. */
+/** Calls the slots of the other hosts directly. Hosts in `disconnected` neither send nor answer calls. */
 export class FakeLimitPeers extends LimitPeers {
   constructor (private readonly self: RosterHost, private readonly hosts: Map<string, HostSlots>, private readonly cut: Set<string>, private readonly clock: Clock) {
     super()
--- a/packages/almondrelay/src/connection/limits/__fixtures__/limitsZone.ts
+++ b/packages/almondrelay/src/connection/limits/__fixtures__/limitsZone.ts
@@ -17,7 +17,7 @@
   stop: AbortController
 }
 
-/** Hosts of one zone with their limits tasks, on one fake platform in virtual time. */
+/** Runs the hosts of one zone with their limits tasks on a shared fake platform in virtual time. */
 export class LimitsZone {
   readonly clock = new FakeClock()
   readonly platform = new FakePlatform(this.clock)
@@ -56,7 +56,7 @@
     this.slots.delete(name)
   }
 
-  /** Slots free over all targets, by host. */
+  /** Returns the number of slots that a host has free over all targets. */
   countFree (name: string): number {
     const free = this.hosts.get(name)!.slots.getFree(SERVICE, this.clock.getNow())
     return [...free.values()].reduce((sum, count) => sum + count, 0)
--- a/packages/almondrelay/src/connection/limits/__fixtures__/loanRegion.ts
+++ b/packages/almondrelay/src/connection/limits/__fixtures__/loanRegion.ts
@@ -39,7 +39,7 @@
   }
 }
 
-/** Two zones of one host each, with the tasks that borrow and lend, on one fake platform in virtual time. */
+/** Runs two zones of one host each, with the tasks that borrow and lend, on a shared fake platform in virtual time. */
 export class LoanRegion {
   readonly clock = new FakeClock()
   readonly platform = new FakePlatform(this.clock)
@@ -54,7 +54,7 @@
     this.hosts.delete(name)
   }
 
-  /** Requests that a host may run at once, asking for one more than it gets. */
+  /** Returns how many requests a host may run at once; one more than that is attempted, so that the host sees the demand. */
   countUsable (name: string): number {
     const { limits } = this.hosts.get(name)!
     const now = this.clock.getNow()
@@ -64,7 +64,7 @@
     return count
   }
 
-  /** Lets time pass while every host asks for all that it can get. */
+  /** Advances the clock while every host requests as much capacity as it can get. */
   async advance (ms: number): Promise<void> {
     for (let passed = 0; passed < ms; passed += 100) {
       [...this.hosts.keys()].forEach((name) => this.countUsable(name))
--- a/packages/almondrelay/src/connection/limits/__tests__/limitsTasks.test.ts
+++ b/packages/almondrelay/src/connection/limits/__tests__/limitsTasks.test.ts
@@ -5,7 +5,7 @@
 const MAX_DEADLINE_MS = 5_000
 const ALL_SLOTS = 24
 const SETTLED_MS = 2_000
-/** Lease term of 3 s and the longest deadline, with drift and slack, and a second for news and rounds. */
+/** Lease term of 3 s and the longest deadline, with clock drift and slack, and one second for messages and rounds. */
 const RECOVERY_MS = (3_000 + MAX_DEADLINE_MS) * 1.0201 + 250 + 1_000
 
 async function startZone (...names: string[]): Promise<LimitsZone> {
@@ -30,8 +30,8 @@
 })
 
 test('the slots of a host that died are usable again after the longest deadline', async () => {
-  // A host's process dies. Its peer finds the address refusing connections and takes the targets over, but
-  // the dead host's requests may run on until their deadline: used at once, the target would get them twice.
+  // A host's process ends. Its peer finds that the address refuses connections and takes over the targets, but
+  // requests of the ended host may run until their deadline. If its slots were used at once, targets would run too many requests.
   const zone = await startZone('a', 'b')
   zone.kill('b')
   zone.hosts.get('a')!.slots.markGone('b', 1, zone.clock.getNow())
@@ -42,7 +42,7 @@
   stopZone(zone)
 })
 
-test('the same with the platform down, and the roster follows later', async () => {
+test('the slots of a host that died are usable again with the platform down, and the roster is written later', async () => {
   const zone = await startZone('a', 'b')
   zone.platform.faults.outage = true
   zone.kill('b')
@@ -56,8 +56,8 @@
 })
 
 test('hosts cut off from each other keep their floors, the standby fills in, and all comes back', async () => {
-  // Two hosts of a zone lose sight of each other; both live. Neither may take what the other may still use:
-  // the owner keeps its floor, and its standby uses the rest once the last lease and its requests are over.
+  // Two live hosts of a zone can't reach each other. Neither may use slots that the other may still use:
+  // the owner keeps its floor, and its standby uses the other slots once the last lease and its requests have ended.
   const zone = await startZone('a', 'b')
   zone.cut.add('b')
   await zone.clock.advance(3_500)
--- a/packages/almondrelay/src/connection/limits/__tests__/loanTasks.test.ts
+++ b/packages/almondrelay/src/connection/limits/__tests__/loanTasks.test.ts
@@ -5,7 +5,7 @@
 const LIMIT = 16
 const FLOOR = 4
 const NAMES = ['wlg-a-1', 'wlg-b-1'] as const
-/** A new lender's wait (a loan's term of 9 s, a deadline of 1 s), a term of the platform's lease and two rounds. */
+/** A new lender's waiting time (a loan's term of 9 s and a deadline of 1 s), the term of the platform lease, and two rounds. */
 const LENDING_MS = 30_000
 
 async function startRegion (): Promise<LoanRegion> {
@@ -32,8 +32,8 @@
 })
 
 test('a lender’s key that no lease holds is given up and taken again', async () => {
-  // The write of the key is held up on its way until its lease has lapsed, and takes effect then. The host finds
-  // itself named as lender, has no lease to renew, and no other host may take the key: nobody ever lends again.
+  // The write of the key is delayed and takes effect only after its lease has expired. The key then names a host that
+  // has no lease to renew, and no other host may take the key, so no host would ever lend again.
   const region = new LoanRegion(LIMIT)
   await region.platform.put('lenders/wlg', JSON.stringify({ name: NAMES[0], incarnation: 1 }), 0, new AbortController().signal)
   await region.advance(LENDING_MS)
@@ -42,8 +42,8 @@
 })
 
 test('in a platform outage loans lapse and floors stay, and loans come back after it', async () => {
-  // The platform is down for a minute. The region's lender can't renew its right to lend, and another zone
-  // might take it the moment the platform is back; lending on would give the same capacity out twice.
+  // The platform is down for a minute. The region's lender can't renew its authority, and a host of another zone may
+  // become lender as soon as the platform is back. If the former one went on lending, capacity would be lent twice.
   const region = await startRegion()
   region.platform.faults.outage = true
   await region.advance(60_000)
--- a/packages/almondrelay/src/connection/limits/handleBorrowing.ts
+++ b/packages/almondrelay/src/connection/limits/handleBorrowing.ts
@@ -10,7 +10,7 @@
   lender: RegionLender
 }
 
-/** Answers a peer's request for a loan, in the shape of BorrowCapacityResponse. */
+/** Handles a peer's request for a loan; the result has the shape of BorrowCapacityResponse. */
 export function handleBorrowing (lenders: Lenders, request: BorrowCapacityRequest, now: number): { isLender: boolean, termMs: number, loans: Array<{ id: string, amount: number, limit: number }> } {
   const borrower = toRosterHost(request.sender)
   const kind = request.lender === LenderKind.region ? LenderKind.region : LenderKind.zone
--- a/packages/almondrelay/src/connection/limits/handleLoan.ts
+++ b/packages/almondrelay/src/connection/limits/handleLoan.ts
@@ -10,7 +10,7 @@
   lender: RegionLender
 }
 
-/** Answers a request for a loan; undefined when this host isn't the lender that was meant, and nothing is lent. */
+/** Handles a request for a loan. Returns undefined, and lends nothing, if this host isn't a lender of the requested kind. */
 export function handleLoan (handlers: LoanHandlers, borrower: RosterHost, kind: LenderKind, request: LoanRequest, now: number): LoanAnswer | undefined {
   return kind === LenderKind.region ? handlers.lender.lend(borrower, request, now) : handlers.limits.lend(borrower, request, now)
 }
--- a/packages/almondrelay/src/connection/limits/handlePartClaim.ts
+++ b/packages/almondrelay/src/connection/limits/handlePartClaim.ts
@@ -4,7 +4,7 @@
 import type { RosterHost } from '../../process/limits/rosterHost.js'
 import { toRosterHost } from './toRosterHost.js'
 
-/** Answers another member's claim, in the shape of ClaimPartsResponse but for the incarnations. */
+/** Handles a claim of another member of the zone. The result has the shape of ClaimPartsResponse, with incarnations as bigint. */
 export function handlePartClaim (slots: HostSlots, request: ClaimPartsRequest, now: number): ReturnType<typeof encodeAnswer> {
   const sender = toRosterHost(request.sender) ?? { name: '', incarnation: 0 }
   const claim = {
--- a/packages/almondrelay/src/connection/limits/lenderKeeper.ts
+++ b/packages/almondrelay/src/connection/limits/lenderKeeper.ts
@@ -12,25 +12,29 @@
   lender: RegionLender
   self: RosterHost
   region: string
-  /** Whether this host is one of the two of its zone that watch the platform; only these lend for the region. */
+  /** Whether this host is one of the two hosts of its zone that watch the platform; only these lend for the region. */
   isWatcher: () => boolean
-  /** Relative difference of rate between this host's clock and the platform's, at most. */
+  /** Maximum relative difference between the rates of this host's clock and the platform's. */
   drift: number
   clock: Clock
   random: Random
   log: Logger
 }
 
-/** Term of the platform lease: 21 regions renew 7 times a second of it, under 2% of the platform's writes. */
+/** Term of the platform lease. 21 regions together renew 7 times a second, which is under 2% of the platform's write capacity. */
 const TTL_MS = 9_000
 const ROUND_MS = 3_000
-/** Age at which a host that doesn't lend, but borrows, reads again who does: 80 zones of 41 such hosts make 110 reads a second of it, 5% of the platform's. */
+/**
+ * Age at which a host that borrows but doesn't lend reads the name of the lender again. 80 zones of 41 such hosts make
+ * 110 reads a second, which is 5% of the platform's read capacity.
+ */
 const REREAD_MS = 30_000
 
 /**
- * Keeps the platform's key `lenders/<region>` with one of the region's watchers, under a platform
- * lease, and tells this host's RegionLender until when it may lend. The authority counts from the sending
- * of each call and is shorter than the platform's term by the drift, so that it is over before another host can take the key.
+ * Elects one of the region's watchers as lender: the platform's key `lenders/<region>` names the lender and is held under a
+ * platform lease. While this host holds the key, its RegionLender is authorised to lend until a given time. The authority
+ * runs from the time at which the grant or renewal of the lease was sent and is shorter than the platform's term by the clock
+ * drift, so that it expires before another host can take the key.
  */
 export class LenderKeeper {
   private current: string | undefined
@@ -40,7 +44,7 @@
 
   constructor (private readonly parts: LenderKeeperParts) {}
 
-  /** Name of the region's lender, as last read; asking makes a host that isn't a watcher read it. */
+  /** Returns the last known name of the region's lender. A call makes a host that isn't a watcher read the key again. */
   find (): string | undefined {
     this.isAsked = true
     return this.current
@@ -58,7 +62,7 @@
         await clock.sleep(ROUND_MS * (0.75 + random() / 2), signal)
       } catch (error) {
         if (signal.aborted) return
-        log.warn({ err: error, failures, region: this.parts.region }, 'region lender not kept')
+        log.warn({ err: error, failures, region: this.parts.region }, 'region lender update failed')
         await clock.sleep(computeBackoff(failures, random), signal)
         failures += 1
       }
@@ -82,8 +86,8 @@
   }
 
   /**
-   * Guards against a key of this host that no lease of it holds: a write that took effect late, after its
-   * lease had lapsed. It would stay for good, and nobody would lend for the region.
+   * Deletes a key that names this host but isn't held by a lease of it. Failure: the write of the key takes effect late, after
+   * its lease has expired. The key would then never be removed, and no host would lend for the region.
    */
   private async release (version: number, signal: AbortSignal): Promise<void> {
     const { platform, lender } = this.parts
@@ -114,12 +118,13 @@
     }
     this.current = self.name
     this.acceptAuthority(sentAt, await this.markLent(signal))
-    log.info({ region, lender: self }, 'region lender taken up')
+    log.info({ region, lender: self }, 'became region lender')
   }
 
   /**
-   * True for the first host that ever lends for the region, which has no predecessor to wait for. The key
-   * `lent/<region>` hangs on no lease and is written before the first loan; a lost answer reads as false, which only costs the wait.
+   * Returns true for the first host that ever lends for the region, which needn't wait until the loans of a former lender end.
+   * The key `lent/<region>` is bound to no lease and is written before the first loan. If the answer to the write is lost, the
+   * next try returns false, which only costs that wait.
    */
   private async markLent (signal: AbortSignal): Promise<boolean> {
     const { platform, self, region } = this.parts
@@ -127,7 +132,7 @@
     return stored
   }
 
-  /** Counts from the granting of the lease, which the key hangs on, and so holds also where the write of the key was slow. */
+  /** The authority runs from the grant or renewal of the lease to which the key is bound, so it is valid even if the write of the key was slow. */
   private acceptAuthority (sentAt: number, isFirst: boolean): void {
     const { lender, clock, drift } = this.parts
     lender.acceptAuthority(sentAt, TTL_MS * (1 - drift), isFirst, clock.getNow())
--- a/packages/almondrelay/src/connection/limits/lenderKind.ts
+++ b/packages/almondrelay/src/connection/limits/lenderKind.ts
@@ -1,8 +1,8 @@
-/** In which of its two parts a host is asked for a loan. */
+/** Role in which a host is asked for a loan. */
 const LenderKind = {
-  /** As holder of its zone's share. */
+  /** Holder of the zone's share. */
   zone: 'zone',
-  /** As lender of the region. */
+  /** Lender of the region. */
   region: 'region'
 } as const
 
--- a/packages/almondrelay/src/connection/limits/limitPeers.ts
+++ b/packages/almondrelay/src/connection/limits/limitPeers.ts
@@ -3,7 +3,7 @@
 import type { PartClaim } from '../../process/limits/partClaim.js'
 import type { PartClaimAnswer } from '../../process/limits/partClaimAnswer.js'
 
-/** Calls to other entry hosts about limits, by host name. Undefined stands for no answer, whatever the cause. */
+/** Calls to peers about limits, addressed by host name. A call returns undefined if there was no answer, whatever the cause. */
 export abstract class LimitPeers {
   abstract tryRenewSlotLease (request: LeaseRequest, signal: AbortSignal): Promise<LeaseGrant | undefined>
   abstract tryClaimParts (host: string, claim: PartClaim, signal: AbortSignal): Promise<PartClaimAnswer | undefined>
--- a/packages/almondrelay/src/connection/limits/linkedLimitPeers.ts
+++ b/packages/almondrelay/src/connection/limits/linkedLimitPeers.ts
@@ -23,10 +23,10 @@
 
 type PeerClient = ReturnType<PeerLinks['get']>
 
-/** A third of a lease's term, so that a renewal that went unanswered can be tried again in time. */
+/** A third of a lease's term, so that an unanswered renewal can be retried before the lease expires. */
 const CALL_TIMEOUT_MS = 1_000
 
-/** Calls about limits over the connections to peers. */
+/** Sends calls about limits over the connections to peers. */
 export class LinkedLimitPeers extends LimitPeers implements LoanPeers {
   constructor (private readonly parts: LinkedPeersParts) {
     super()
--- a/packages/almondrelay/src/connection/limits/loanPeers.ts
+++ b/packages/almondrelay/src/connection/limits/loanPeers.ts
@@ -2,8 +2,8 @@
 import type { LoanRequest } from '../../process/limits/loanRequest.js'
 import type { LenderKind } from './lenderKind.js'
 
-/** Calls to other entry hosts for loans, by host name. */
+/** Calls to peers for loans, addressed by host name. */
 export abstract class LoanPeers {
-  /** Undefined stands for no answer and for one from a host that isn't the lender meant. */
+  /** Returns undefined if there was no answer, or if the host isn't a lender of the requested kind. */
   abstract tryBorrowCapacity (host: string, lender: LenderKind, request: LoanRequest, signal: AbortSignal): Promise<LoanAnswer | undefined>
 }
--- a/packages/almondrelay/src/connection/limits/loanTask.ts
+++ b/packages/almondrelay/src/connection/limits/loanTask.ts
@@ -8,22 +8,22 @@
   limits: RegionLimits
   peers: LoanPeers
   clock: Clock
-  /** Name of the host that lends for the region; undefined while none is known. */
+  /** Returns the name of the host that lends for the region; undefined while none is known. */
   findRegionLender: () => string | undefined
 }
 
-/** A small part of the 3 s that a host's loan lasts: a renewal that is due waits little, and an idle round costs no call. */
+/** Short compared with the 3 s term of a host's loan, so that due renewals are sent early enough. A round with nothing due makes no call. */
 const ROUND_MS = 250
-/** Least time between two rounds, however many requests wait. */
+/** Minimum time between two rounds, however many requests are waiting. */
 const SHORTEST_ROUND_MS = 25
 
-/** Borrows and returns capacity of the region's limits. Each limit has at most one request under way, by its own count. */
+/** Borrows and returns capacity of the region's limits. RegionLimits plans at most one pending loan request for each limit. */
 export class LoanTask {
   private wakeUp: (() => void) | undefined
 
   constructor (private readonly parts: LoanTaskParts) {}
 
-  /** Requests wait for room: borrows now instead of at the next round. */
+  /** Starts the next round at once, because requests are waiting for capacity. */
   wake (): void {
     this.wakeUp?.()
   }
--- a/packages/almondrelay/src/connection/limits/parseLender.ts
+++ b/packages/almondrelay/src/connection/limits/parseLender.ts
@@ -4,7 +4,7 @@
 
 const LenderValue = z.object({ name: ResourceName, incarnation: z.number().int().min(0) })
 
-/** The lender in a platform value; undefined when the value is none. */
+/** Parses a lender from a platform value; returns undefined if the value is invalid. */
 export function parseLender (value: string): RosterHost | undefined {
   try {
     return LenderValue.parse(JSON.parse(value))
--- a/packages/almondrelay/src/connection/limits/parseRoster.ts
+++ b/packages/almondrelay/src/connection/limits/parseRoster.ts
@@ -9,7 +9,7 @@
   lastLossVersion: z.number().int().min(0).optional()
 })
 
-/** The roster in a platform value; undefined when the value is none. */
+/** Parses a roster from a platform value; returns undefined if the value is invalid. */
 export function parseRoster (value: string): Roster | undefined {
   try {
     const { lastLossVersion, ...roster } = RosterValue.parse(JSON.parse(value))
--- a/packages/almondrelay/src/connection/limits/rosterKeeper.ts
+++ b/packages/almondrelay/src/connection/limits/rosterKeeper.ts
@@ -16,25 +16,25 @@
   slots: HostSlots
   self: RosterHost
   availabilityZone: string
-  /** Whether this host is one of the two of its zone that watch the platform; asked before each call. */
+  /** Whether this host is one of the two hosts of its zone that watch the platform; checked before each watch call. */
   isWatcher: () => boolean
   clock: Clock
   random: Random
   log: Logger
 }
 
-/** How often a host that isn't a watcher looks whether it has reason to read the roster. */
+/** Interval at which a host checks whether an update of the roster is due, or whether it has become a watcher. */
 const IDLE_MS = 250
 const WATCH_MS = 5_000
-/** Longest age of what a host that isn't a watcher has read: 4,800 hosts make 80 reads a second of it, 4% of the platform's. */
+/** Maximum age of the roster that a host has read. 4,800 hosts make 80 reads a second, which is 4% of the platform's read capacity. */
 const REREAD_MS = 60_000
-/** Hosts with the same reason to write spread their tries over this, so that most find it done. */
+/** Random delay before an update: hosts with the same reason to write are spread over it, so that most find the roster already written. */
 const SPREAD_MS = 200
 
 /**
- * Keeps the zone's roster on the platform: a write for each join, and for each loss on definitive
- * evidence; none for silence. A host that is neither joining nor told of a later version by a peer
- * makes next to no calls. An answer that is lost after the write took effect is found by reading again.
+ * Maintains the zone's roster on the platform. The roster is written when a host joins and when there is definitive
+ * evidence that a host is gone, but never because of missing reports alone. A host that isn't joining and whose peers have
+ * no later version makes almost no calls. If the answer to a write is lost, the next read shows that the write took effect.
  */
 export class RosterKeeper {
   private joins = true
@@ -48,7 +48,7 @@
     await Promise.all([this.keep(signal), this.follow(signal)])
   }
 
-  /** Takes this host out of the roster, after its last request has ended. Rejects when the platform gives no answer. */
+  /** Removes this host from the roster; call it after the last request of the host has ended. Rejects if the platform does not answer. */
   async removeSelf (signal: AbortSignal): Promise<void> {
     this.joins = false
     while (!signal.aborted && await this.update(signal)) await this.parts.clock.sleep(SPREAD_MS * this.parts.random(), signal)
@@ -68,7 +68,7 @@
         failures = 0
       } catch (error) {
         if (signal.aborted) return
-        log.warn({ err: error, failures }, 'roster not kept')
+        log.warn({ err: error, failures }, 'roster update failed')
         await clock.sleep(computeBackoff(failures, random), signal)
         failures += 1
       }
@@ -88,7 +88,7 @@
         failures = 0
       } catch (error) {
         if (signal.aborted) return
-        log.warn({ err: error, failures }, 'roster not watched')
+        log.warn({ err: error, failures }, 'roster watch failed')
         await clock.sleep(computeBackoff(failures, random), signal)
         failures += 1
       }
@@ -107,7 +107,7 @@
     return (this.joins && !claims.isMember) || claims.isBehind || claims.gone.length > 0 || isStale
   }
 
-  /** Reads and adopts the roster and writes the next one where one is due; true when it wrote or lost a race. */
+  /** Reads and adopts the roster and writes a new version if one is due. Returns true if it wrote, or if another host wrote first. */
   private async update (signal: AbortSignal): Promise<boolean> {
     const { platform, slots, self, availabilityZone, clock, log } = this.parts
     const entry = await platform.get(this.key, signal)
@@ -124,11 +124,11 @@
     return true
   }
 
-  /** Guards against a value that is no roster: taken for an absent one, it would start the versions again and hosts would hold parts twice. */
+  /** Rejects an invalid value. If it were treated as an absent roster, versions would restart and two hosts could hold the same part. */
   private requireRoster (value: string): Roster {
     const roster = parseRoster(value)
     if (roster === undefined) {
-      throw new AlmondrelayError({ kind: ErrorKind.platformUnavailable, message: `the platform's key ${this.key} holds no roster`, remedy: 'restore it from a host of the zone; hosts go on with the roster that they have' })
+      throw new AlmondrelayError({ kind: ErrorKind.platformUnavailable, message: `the value of the platform's key ${this.key} is not a valid roster`, remedy: 'restore the roster from a host of the zone; until then hosts keep the last roster that they read' })
     }
     return roster
   }
--- a/packages/almondrelay/src/connection/limits/slotLeaseTask.ts
+++ b/packages/almondrelay/src/connection/limits/slotLeaseTask.ts
@@ -10,12 +10,12 @@
   clock: Clock
 }
 
-/** Twelve times a lease's term: a renewal that is due waits little, and an idle round costs no call. */
+/** Twelve rounds in a lease's term, so that due renewals are sent early enough. A round with nothing due makes no call. */
 const ROUND_MS = 250
 
 /**
- * Renews this host's slot leases and claims the parts that fall to it. At most one call of a kind waits
- * at a peer, so that a frozen peer holds up neither the others nor this host's memory.
+ * Renews this host's slot leases and claims the parts that are assigned to it. At most one call of each kind is pending at
+ * a peer, so that a frozen peer neither delays calls to other peers nor makes pending calls accumulate in memory.
  */
 export class SlotLeaseTask {
   private readonly waiting = new Set<string>()
--- a/packages/almondrelay/src/connection/limits/toPartClaimAnswer.ts
+++ b/packages/almondrelay/src/connection/limits/toPartClaimAnswer.ts
@@ -2,7 +2,7 @@
 import type { PartClaimAnswer } from '../../process/limits/partClaimAnswer.js'
 import type { RosterHost } from '../../process/limits/rosterHost.js'
 
-/** A peer's answer to a claim; one that names no process to answer can bind nothing. */
+/** Decodes a peer's answer to a claim. An answer that names no sender gets the empty host name, which matches no host of the roster. */
 export function toPartClaimAnswer (response: ClaimPartsResponse): PartClaimAnswer {
   return {
     from: toHost(response.from),
--- a/packages/almondrelay/src/connection/listenForHttp.ts
+++ b/packages/almondrelay/src/connection/listenForHttp.ts
@@ -3,13 +3,13 @@
 import type { Hono } from 'hono'
 import { openServer } from './openServer.js'
 
-/** A caller that sends half a request and stops is cut off after this long. */
+/** Time in which a caller must send its whole request; an incomplete request is then aborted. */
 const REQUEST_TIMEOUT_MS = 15_000
 const HEADERS_TIMEOUT_MS = 5_000
 const TIMEOUT_CHECK_MS = 1_000
 const KEEP_ALIVE_MS = 20_000
 
-/** Serves an HTTP/1.1 port. The returned server is closed by whoever opened it. */
+/** Serves an HTTP/1.1 port. The code that calls this function closes the returned server. */
 export async function listenForHttp (address: string, app: Hono): Promise<Server> {
   const listener = getRequestListener(app.fetch)
   const server = createServer({
--- a/packages/almondrelay/src/connection/openServer.ts
+++ b/packages/almondrelay/src/connection/openServer.ts
@@ -3,7 +3,7 @@
 import { ErrorKind } from '../process/errors/errorKind.js'
 import { splitAddress } from './splitAddress.js'
 
-/** Listens on an IP number and port; rejects with `settings-invalid` where the port can't be had. */
+/** Listens on an IP address and port; rejects with `settings-invalid` if the address can't be bound. */
 export function openServer (server: Server, address: string): Promise<void> {
   const { host, port } = splitAddress(address)
   return new Promise((resolve, reject) => {
--- a/packages/almondrelay/src/connection/operator/__tests__/createOperatorApp.test.ts
+++ b/packages/almondrelay/src/connection/operator/__tests__/createOperatorApp.test.ts
@@ -47,7 +47,7 @@
   assert.is(store.current.revision, 0)
 })
 
-test('put, get, list, conflict, delete and ask by write id', async () => {
+test('put, get, list, conflict, delete and look-up by write id', async () => {
   const { send, store } = createTestApp()
   store.markReady()
   const put = await send('PUT', '/v1/resources/Region/akl', REGION, { 'almondrelay-write-id': WRITE_ID, 'if-none-match': '*' })
@@ -112,8 +112,8 @@
   assert.is((drain.body.status as { workLeft: number }).workLeft, 3)
 })
 
-// An operator sees "applied" and drains the next zone, though one host never got the change.
-// Status must name the host that lags and the one that can't be reached.
+// An operator sees that a change is applied and drains the next zone, though one host never received the change.
+// Status must name the lagging host and the unreachable one.
 test('status names the revision of a zone, the hosts that lag and those that are unreachable', async () => {
   const { send, store } = createTestApp([makeMember('akl-a-2', 'live', 0), makeMember('akl-a-3', 'suspected', 1), makeMember('akl-a-4', 'gone', 0)])
   store.markReady()
@@ -130,7 +130,7 @@
 
 // The platform is down when an operator applies a change. The answer must be `unknown` with the
 // write's id: the change may have been stored, so a refusal could be untrue.
-test('a write during an outage is unknown, with the id to ask by', async () => {
+test('a write during an outage is unknown, and the answer has the id to look it up', async () => {
   const { send, store, platform, clock } = createTestApp()
   store.markReady()
   platform.faults.outage = true
--- a/packages/almondrelay/src/connection/operator/addResourceRoutes.ts
+++ b/packages/almondrelay/src/connection/operator/addResourceRoutes.ts
@@ -10,7 +10,7 @@
 
 const KINDS: readonly string[] = Object.values(ResourceKind)
 
-/** Get, list, put and delete of resources. */
+/** Adds the routes that get, list, put and delete resources. */
 export function addResourceRoutes (app: Hono, options: OperatorAppOptions, signal: AbortSignal): void {
   const { store, statusHooks } = options
   const listZones = () => computeZoneStatuses(options.listMembers(), store.current.revision)
@@ -47,7 +47,7 @@
   const parsed = await parseWrite(context, kind, options.makeWriteId)
   if ('problems' in parsed) return context.json({ outcome: 'rejected', problems: parsed.problems }, 400)
   const { write } = parsed
-  // The process's own signal, not the operator's connection: a write goes on to its end.
+  // Uses the signal of the process and not that of the operator's connection: a write that has begun is completed even if the operator disconnects.
   const outcome = await options.changeLog.submit(write, signal)
   options.log.info({ ...outcome, author: write.author, action: write.action, kind, resource: context.req.param('name') }, 'resource written')
   return sendWriteOutcome(context, outcome, write.expectedRevision !== undefined)
--- a/packages/almondrelay/src/connection/operator/addWatchRoute.ts
+++ b/packages/almondrelay/src/connection/operator/addWatchRoute.ts
@@ -4,7 +4,7 @@
 const LONGEST_WAIT_MS = 60_000
 const MAX_CHANGES = 100
 
-/** Long poll for the changes after a revision. */
+/** Adds the long-poll route that returns the changes after a revision. */
 export function addWatchRoute (app: Hono, options: OperatorAppOptions, signal: AbortSignal): void {
   const { store } = options
   app.get('/v1/watch', async (context) => {
@@ -17,7 +17,7 @@
     if (waitMs > 0) await waitAbove(options, after, Math.min(waitMs, LONGEST_WAIT_MS), [signal, context.req.raw.signal])
     const kept = store.listChanges(after, MAX_CHANGES)
     const { revision } = store.current
-    // The changes in between are no longer kept: the reader has to list the resources again.
+    // The changes after this revision are no longer retained: the client must list the resources again.
     if (kept === undefined) return context.json({ revision, changes: [], isReset: true })
     return context.json({ revision: kept.at(-1)?.change.revision ?? revision, changes: kept.map((each) => each.change) })
   })
--- a/packages/almondrelay/src/connection/operator/createOperatorApp.ts
+++ b/packages/almondrelay/src/connection/operator/createOperatorApp.ts
@@ -7,7 +7,7 @@
 import { describeStatus } from './describeStatus.js'
 import type { OperatorAppOptions } from './operatorAppOptions.js'
 
-/** The operator port, as docs/architecture.md lists its calls. The signal ends what waits. */
+/** Creates the HTTP app of the operators' API; docs/architecture.md lists its calls. The signal ends pending long polls and writes. */
 export function createOperatorApp (options: OperatorAppOptions, signal: AbortSignal): Hono {
   const app = new Hono()
   app.get('/v1/status', (context) => context.json(describeStatus(options)))
--- a/packages/almondrelay/src/connection/operator/describeStatus.ts
+++ b/packages/almondrelay/src/connection/operator/describeStatus.ts
@@ -2,7 +2,7 @@
 import { computeZoneStatuses } from '../../process/configuration/status/computeZoneStatuses.js'
 import type { OperatorAppOptions } from './operatorAppOptions.js'
 
-/** What this host knows to hold: zones, hosts, drains and limits. */
+/** Describes the state known to this host: zones, hosts, drains and shift caps. */
 export function describeStatus (options: OperatorAppOptions): object {
   const { store, statusHooks } = options
   const members = options.listMembers()
--- a/packages/almondrelay/src/connection/operator/operatorAppOptions.ts
+++ b/packages/almondrelay/src/connection/operator/operatorAppOptions.ts
@@ -9,16 +9,16 @@
   until?: string
 }
 
-/** What the operator port shows and changes. */
+/** Dependencies of the operators' API: the state that it reads and changes. */
 export interface OperatorAppOptions {
   /** Name of this host. */
   host: string
   store: ConfigurationStore
   changeLog: ChangeLog
-  /** Every host that is known, this one among them. */
+  /** Lists every known host, including this one. */
   listMembers: () => Member[]
   statusHooks: StatusHooks
-  /** The minute pages of the account between two times. */
+  /** Fetches the minute pages of the account between two times. */
   fetchAccount: (query: AccountQuery, signal: AbortSignal) => Promise<unknown>
   makeWriteId: () => string
   log: Logger
--- a/packages/almondrelay/src/connection/operator/parseCondition.ts
+++ b/packages/almondrelay/src/connection/operator/parseCondition.ts
@@ -4,7 +4,7 @@
 
 type Condition = { expectedRevision?: number } | { problem: ResourceProblem }
 
-/** The revision that a write expects, out of `If-Match` or `If-None-Match`; 0 for an absent resource. */
+/** Parses the revision that a write expects from `If-Match` or `If-None-Match`; 0 means that the resource must not exist. */
 export function parseCondition (ifMatch: string | undefined, ifNoneMatch: string | undefined): Condition {
   if (ifMatch !== undefined && ifNoneMatch !== undefined) {
     return { problem: { path: 'If-None-Match', found: ifNoneMatch.slice(0, 80), remedy: 'send either If-Match or If-None-Match' } }
--- a/packages/almondrelay/src/connection/operator/parseWrite.ts
+++ b/packages/almondrelay/src/connection/operator/parseWrite.ts
@@ -13,7 +13,7 @@
 
 type Parsed = { write: Write } | { problems: ResourceProblem[] }
 
-/** The write that a PUT or DELETE asks for, or everything that is wrong with its form. */
+/** Parses the write of a PUT or DELETE request; returns all problems found in the request if it is invalid. */
 export async function parseWrite (context: Context, kind: ResourceKind, makeWriteId: () => string): Promise<Parsed> {
   const name = context.req.param('name') ?? ''
   const writeId = context.req.header('almondrelay-write-id') ?? makeWriteId()
--- a/packages/almondrelay/src/connection/operator/sendWriteOutcome.ts
+++ b/packages/almondrelay/src/connection/operator/sendWriteOutcome.ts
@@ -4,7 +4,7 @@
 
 const RETRY_AFTER_SECONDS = '1'
 
-/** Answers a write; 412 rather than 409 where the writer stated the revision that it expected. */
+/** Sends the outcome of a write. A conflict is answered with 412 if the write stated an expected revision, otherwise with 409. */
 export function sendWriteOutcome (context: Context, outcome: WriteOutcome, isConditional: boolean): Response {
   return match(outcome)
     .with({ outcome: 'accepted' }, (accepted) => {
--- a/packages/almondrelay/src/connection/peer/__tests__/guardedSessionManager.test.ts
+++ b/packages/almondrelay/src/connection/peer/__tests__/guardedSessionManager.test.ts
@@ -11,9 +11,9 @@
   return { server, url: `http://127.0.0.1:${(server.address() as AddressInfo).port}` }
 }
 
-// Two hosts are busy. A ping to the peer times out and destroys the session, and in the same turn
-// the heartbeat that waited on it times out too and closes the connection. The session's error then
-// came up with no listener, and the whole host ended in the middle of its callers' requests.
+// On busy hosts a ping to the peer times out and destroys the session, and in the same turn of the event loop
+// the heartbeat that waited on it times out too and closes the connection. The session's error event then
+// had no listener, and the whole process ended in the middle of its callers' requests.
 test('a session that is destroyed and closed in one turn does not end the process', async () => {
   const { server, url } = await startServer()
   const errors: unknown[] = []
--- a/packages/almondrelay/src/connection/peer/checkSender.ts
+++ b/packages/almondrelay/src/connection/peer/checkSender.ts
@@ -2,7 +2,7 @@
 import type { Sender } from 'almondrelay-protocol'
 import { PROTOCOL_VERSION } from '../../process/dispatch/protocolVersion.js'
 
-/** Refuses a peer that doesn't name itself or speaks another version. */
+/** Throws an error if a message names no sender or has another protocol version. */
 export function checkSender (sender: Sender | undefined): asserts sender is Sender {
   if (sender === undefined || sender.host === '') throw new ConnectError('the message names no sender: set sender.host', Code.InvalidArgument)
   if (sender.protocolVersion !== PROTOCOL_VERSION) {
--- a/packages/almondrelay/src/connection/peer/createPeerHandlers.ts
+++ b/packages/almondrelay/src/connection/peer/createPeerHandlers.ts
@@ -7,7 +7,7 @@
 import { handleSlotLeases } from '../limits/handleSlotLeases.js'
 import { checkSender } from './checkSender.js'
 
-/** What this host answers to its peers about requests and limits; heartbeats and changes are the exchange's. */
+/** Creates the handlers for peers' calls about requests and limits; the exchange folder handles heartbeats and changes. */
 export function createPeerHandlers (host: Pick<Host, 'peerRequests' | 'slots' | 'capacity' | 'limits' | 'lender' | 'clock'>): Partial<ServiceImpl<typeof PeerService>> {
   const { peerRequests, slots, capacity, clock } = host
   return {
--- a/packages/almondrelay/src/connection/peer/guardedSessionManager.ts
+++ b/packages/almondrelay/src/connection/peer/guardedSessionManager.ts
@@ -2,13 +2,12 @@
 import { Http2SessionManager } from '@connectrpc/connect-node'
 
 /**
- * A session manager whose sessions always have someone to take their errors.
+ * A session manager whose sessions always have an error listener.
  *
- * Failure: a ping times out and destroys the session; before the session reports that, the
- * connection is closed by its owner and the manager takes its listeners off; the report then reaches
- * nobody, and an error event that nobody takes ends the process (seen in the demo: one host ended
- * with 'PING timed out' while the machine was busy). The listener here stays as long as the session
- * does. The open calls on the session learn of its end from their own streams.
+ * Failure: a ping times out and destroys the session. Before the session emits the error, the owner closes the connection
+ * and the manager removes its listeners. The error event then has no listener, which ends the process (seen in the demo:
+ * one host ended with 'PING timed out' while the machine was busy). The listener added here stays until the session is
+ * garbage-collected. Open calls on the session fail through their own streams.
  */
 export class GuardedSessionManager extends Http2SessionManager {
   private readonly guarded = new WeakSet<ClientHttp2Session>()
--- a/packages/almondrelay/src/connection/peer/peerConnection.ts
+++ b/packages/almondrelay/src/connection/peer/peerConnection.ts
@@ -9,13 +9,13 @@
 /**
  * One HTTP/2 connection to a peer.
  *
- * Failure: the connection goes silent for good while new ones work; calls on it would wait for
- * their deadline. Pings close one with open calls within PING_INTERVAL_MS + PING_TIMEOUT_MS; one that was
- * idle for longer than PING_INTERVAL_MS is verified by a ping before a call goes out on it.
+ * Failure: the connection stops delivering packets for good while new connections work, and calls on it would wait for
+ * their deadline. Pings close a connection with open calls within PING_INTERVAL_MS + PING_TIMEOUT_MS. A connection that was
+ * idle for longer than PING_INTERVAL_MS is verified by a ping before a call is sent on it.
  *
- * Idle connections aren't pinged all the time: the session manager would start its timer again when a
- * stream of an ended session closes, and its ping on that session throws where nothing catches it,
- * which ends the process (seen in the first run of six hosts, when one session was replaced).
+ * Idle connections aren't pinged continuously: the session manager would restart its timer when a stream of an ended
+ * session closes, and the ping on that session would throw an uncaught error, which ends the process (seen in the first
+ * run of six hosts, when one session was replaced).
  */
 export class PeerConnection {
   readonly client: Client<typeof PeerService>
--- a/packages/almondrelay/src/connection/peer/peerConnections.ts
+++ b/packages/almondrelay/src/connection/peer/peerConnections.ts
@@ -3,7 +3,7 @@
 import { PeerLinks } from '../../process/dispatch/peerLinks.js'
 import { PeerConnection } from './peerConnection.js'
 
-/** The open connections to peers, one for each address in use. */
+/** Manages the open connections to peers, one for each address in use. */
 export class PeerConnections extends PeerLinks {
   private readonly connections = new Map<string, PeerConnection>()
 
@@ -20,12 +20,12 @@
     return opened.client
   }
 
-  /** A connection of its own, for asking after one in use was lost; close it after use. */
+  /** Opens a separate connection, for checking a peer after the shared connection was lost; the code that opens it closes it. */
   override open (address: string): PeerConnection {
     return new PeerConnection(address)
   }
 
-  /** Ends the connection to an address; the next call opens a new one. */
+  /** Closes the connection to an address; the next call opens a new one. */
   override drop (address: string): void {
     this.connections.get(address)?.close()
     this.connections.delete(address)
--- a/packages/almondrelay/src/connection/splitAddress.ts
+++ b/packages/almondrelay/src/connection/splitAddress.ts
@@ -3,7 +3,7 @@
   port: number
 }
 
-/** Splits `10.0.0.7:8080` or `[::1]:8080`. */
+/** Splits an address such as `10.0.0.7:8080` or `[::1]:8080` into host and port. */
 export function splitAddress (address: string): AddressParts {
   const colon = address.lastIndexOf(':')
   return { host: address.slice(0, colon).replace(/^\[|\]$/g, ''), port: Number(address.slice(colon + 1)) }
--- a/packages/almondrelay/src/connection/target/targetConnections.ts
+++ b/packages/almondrelay/src/connection/target/targetConnections.ts
@@ -8,32 +8,32 @@
 
 interface IdleConnection {
   client: Client
-  /** Monotonic milliseconds at which bytes last came from the target. */
+  /** Monotonic time in milliseconds at which the target last sent bytes. */
   activeAt: number
 }
 
-/** Longer than the round trip between the farthest regions (110 ms) by a safe factor. */
+/** Several times the round-trip time between the most distant regions (110 ms). */
 const CONNECT_TIMEOUT_MS = 1_000
-/** An idle connection counts as alive for this long after it last moved bytes. */
+/** An idle connection is reused only this long after its last bytes; an older one may have failed without notice. */
 const FRESH_MS = 1_000
 const MAX_IDLE_MS = 20_000
 const MAX_IDLE_CONNECTIONS = 64
 const NOT_RUN_STATUS = 503
 
 const CONNECT_ERROR_CODES: ReadonlySet<string> = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'EADDRNOTAVAIL', 'UND_ERR_CONNECT_TIMEOUT'])
-/** What the client says of bytes that no request waits for. */
+/** Message of the error with which undici closes a connection that received bytes for which no request is pending. */
 const EXCESS_MESSAGE = 'bad response'
-/** Turns of the event loop until the client has said it. */
+/** Turns of the event loop within which undici reports bytes that arrived together with the end of a response. */
 const EXCESS_TURNS = 2
 const HOP_BY_HOP: ReadonlySet<string> = new Set(['connection', 'keep-alive', 'transfer-encoding', 'upgrade', 'te', 'trailer', 'proxy-connection', 'content-length'])
 
 /**
  * Connections to targets, one request at a time on each.
  *
- * Failure: an open connection goes silent for good while new ones work; a request sent on it is
- * never answered, and nobody can tell whether it ran. A non-idempotent request therefore goes out
- * only on a connection that moved bytes within FRESH_MS, or on a new one, at the cost of about 1 ms.
- * A connection whose answer was given up on is destroyed, so no late answer can meet a later request.
+ * Failure: an open connection can stop delivering packets for good while new connections work. A request sent on
+ * it is never answered, and it is unknown whether the request ran. A request is therefore sent only on a
+ * connection that received bytes within MAX_REUSE_IDLE_MS, or on a new one, which costs about 1 ms.
+ * A connection whose answer is no longer awaited is destroyed, so that a late answer can't be taken for that of a later request.
  */
 export class TargetConnections extends TargetSender {
   private readonly idle = new Map<string, IdleConnection[]>()
@@ -86,7 +86,7 @@
     this.idle.set(address, connections)
   }
 
-  /** The newest idle connection is stale, so all are. */
+  /** Destroys all idle connections to a target; called when the most recently used one is too old, so the others are too. */
   private drop (address: string): void {
     for (const each of this.idle.get(address) ?? []) void each.client.destroy()
     this.idle.delete(address)
@@ -125,7 +125,7 @@
   }
 }
 
-/** Connections on which bytes came that belong to no answer. */
+/** Clients whose connection received bytes that belong to no response. */
 const excessive = new WeakSet<Client>()
 
 function observeExcess (client: Client): void {
@@ -136,10 +136,10 @@
 }
 
 /**
- * Failure: a target states a shorter length than it sends, and the caller gets the first part of its answer as
- * the whole. The bytes that follow are no answer, so the client ends the connection, within
- * EXCESS_TURNS where they came along with the stated ones. A rest that comes later can't be told from a
- * stray byte: by RFC 9112, section 6.3, the stated length is the answer's.
+ * Failure: a target states a Content-Length shorter than the body that it sends, and the caller gets a truncated
+ * answer as if it were complete. undici closes the connection on the excess bytes, within EXCESS_CHECK_TURNS
+ * turns of the event loop if they arrived together with the stated ones. Excess bytes that arrive later are not
+ * detected as part of this answer: by RFC 9112, section 6.3, its length is the stated one.
  */
 async function isFollowedByMore (client: Client): Promise<boolean> {
   for (let turn = 0; turn < EXCESS_TURNS; turn += 1) await new Promise((resolve) => { setImmediate(resolve) })
