--- a/packages/almondrelay/src/connection/exchange/__tests__/runExchanges.test.ts
+++ b/packages/almondrelay/src/connection/exchange/__tests__/runExchanges.test.ts
@@ -129,7 +129,7 @@
   fleet.stopAll()
 })
 
-// The platform is down. Hosts continue to serve, and one of them is replaced: the new process
+// The platform is down for a long time. Hosts continue to serve, and one is replaced: the new process
 // must not serve before it has the configuration, and gets it from a peer of its zone.
 test('a host that restarts during an outage takes the configuration from a peer', async () => {
   const fleet = await startFleet(ZONES, 2)
--- a/packages/almondrelay/src/connection/exchange/computeRefreshLength.ts
+++ b/packages/almondrelay/src/connection/exchange/computeRefreshLength.ts
@@ -1,4 +1,4 @@
-/** Summaries of other hosts that are sent when each neighbour gets one refresh, summed over all neighbours. */
+/** Summaries of other hosts in one refresh to each neighbour, in total over all neighbours. */
 const SUMMARIES_A_ROUND = 20
 const MOST = 5
 
--- a/packages/almondrelay/src/connection/exchange/exchangeHub.ts
+++ b/packages/almondrelay/src/connection/exchange/exchangeHub.ts
@@ -85,7 +85,7 @@
       .filter((neighbour) => neighbour.peerAddress !== '')
   }
 
-  /** Whether to fetch changes from a peer now: the peer has newer ones, its last fetch did not fail recently, and no other fetch is in progress. */
+  /** Whether to fetch changes from a peer now: it has newer ones, its last fetch did not fail recently, and no other fetch is in progress. */
   allowRepair (host: string, now: number): boolean {
     const progress = this.getProgress(host)
     return progress.revision > this.options.store.current.revision && now >= progress.distrustedUntil && now - this.repairBegunAt > REPAIR_ALONE_MS
--- a/packages/almondrelay/src/connection/exchange/outgoingWord.ts
+++ b/packages/almondrelay/src/connection/exchange/outgoingWord.ts
@@ -5,7 +5,7 @@
   word: { sender: Sender, revision: bigint, hosts: HostSummary[], leavingTargets: LeavingTarget[] }
   revision: number
   upTo: number
-  /** Hosts that remain in the backlog once this message has arrived. */
+  /** Hosts of the backlog that are left once this has arrived. */
   backlogLeft: number
   upToTargets: number
 }
--- a/packages/almondrelay/src/connection/exchange/peerProgress.ts
+++ b/packages/almondrelay/src/connection/exchange/peerProgress.ts
@@ -26,7 +26,7 @@
   isBroken: boolean
   /** Revision in the last message from the peer. */
   revision: number
-  /** Revision in the last message that the peer received from this host. */
+  /** Revision in the last message sent to the peer; a message in a failed exchange does not count. */
   toldRevision: number
   /** Time before which no changes are fetched from the peer, because its last fetch failed or did not prove the stated revision. */
   distrustedUntil: number
--- a/packages/almondrelay/src/connection/exchange/runPeerExchange.ts
+++ b/packages/almondrelay/src/connection/exchange/runPeerExchange.ts
@@ -60,7 +60,7 @@
   }
   try {
     const sender = hub.receiveWord(response, clock.getNow(), (progress) => {
-      // The answer comes from a later incarnation than the one to which the message was addressed, so nothing is confirmed.
+      // The answer comes from another incarnation than the one to which the message was addressed: it has none of the updates sent before.
       if (incarnation !== 0 && progress.incarnation !== incarnation) return
       progress.confirmed = Math.max(progress.confirmed, sent.upTo)
       progress.backlog.length = Math.min(progress.backlog.length, incarnation === 0 ? Infinity : sent.backlogLeft)
--- a/packages/almondrelay/src/connection/limits/lenderKeeper.ts
+++ b/packages/almondrelay/src/connection/limits/lenderKeeper.ts
@@ -132,7 +132,7 @@
     return stored
   }
 
-  /** The authority runs from the grant or renewal of the lease to which the key is bound, so it is valid even if the write of the key was slow. */
+  /** The authority runs from the grant or renewal of the lease that holds the key, so it is valid even if the write of the key was slow. */
   private acceptAuthority (sentAt: number, isFirst: boolean): void {
     const { lender, clock, drift } = this.parts
     lender.acceptAuthority(sentAt, TTL_MS * (1 - drift), isFirst, clock.getNow())
--- a/packages/almondrelay/src/connection/limits/loanTask.ts
+++ b/packages/almondrelay/src/connection/limits/loanTask.ts
@@ -12,7 +12,7 @@
   findRegionLender: () => string | undefined
 }
 
-/** Short compared with the 3 s term of a host's loan, so that due renewals are sent early enough. A round with nothing due makes no call. */
+/** Short compared with the 3 s term of a host's loan, so that due renewals are sent in time. A round with nothing due makes no call. */
 const ROUND_MS = 250
 /** Minimum time between two rounds, however many requests are waiting. */
 const SHORTEST_ROUND_MS = 25
--- a/packages/almondrelay/src/connection/operator/addResourceRoutes.ts
+++ b/packages/almondrelay/src/connection/operator/addResourceRoutes.ts
@@ -47,7 +47,7 @@
   const parsed = await parseWrite(context, kind, options.makeWriteId)
   if ('problems' in parsed) return context.json({ outcome: 'rejected', problems: parsed.problems }, 400)
   const { write } = parsed
-  // Uses the signal of the process and not that of the operator's connection: a write that has begun is completed even if the operator disconnects.
+  // Uses the signal of the process, not of the operator's connection: a write that has begun completes even if the operator disconnects.
   const outcome = await options.changeLog.submit(write, signal)
   options.log.info({ ...outcome, author: write.author, action: write.action, kind, resource: context.req.param('name') }, 'resource written')
   return sendWriteOutcome(context, outcome, write.expectedRevision !== undefined)
