--- a/packages/almondrelay/src/process/limits/__fixtures__/correctedWay.ts
+++ b/packages/almondrelay/src/process/limits/__fixtures__/correctedWay.ts
@@ -3,7 +3,7 @@
 const REPORT_MS = 250
 const LAG_MS = 50
 
-/** Each host fills targets by their last reported load and what it started since, and corrects itself at the next report. */
+/** Each host chooses targets by their last reported load plus the requests that it started since, and corrects its estimate at the next report. */
 export class CorrectedWay extends LimitWay {
   private seen = new Map<string, number>()
   private reports: Array<{ at: number, running: Map<string, number> }> = []
--- a/packages/almondrelay/src/process/limits/__fixtures__/equalSplitWay.ts
+++ b/packages/almondrelay/src/process/limits/__fixtures__/equalSplitWay.ts
@@ -1,6 +1,6 @@
 import { LimitWay } from './limitWay.js'
 
-/** Each host may use its part of every target, and nothing moves between hosts. */
+/** Each host may use a fixed, equal share of every target; no capacity moves between hosts. */
 export class EqualSplitWay extends LimitWay {
   private readonly running = new Map<string, number>()
 
--- a/packages/almondrelay/src/process/limits/__fixtures__/measureWay.ts
+++ b/packages/almondrelay/src/process/limits/__fixtures__/measureWay.ts
@@ -5,9 +5,9 @@
   targets: readonly string[]
   slots: number
   hosts: number
-  /** Offered work over all slots. */
+  /** Offered work as a fraction of all slots. */
   load: number
-  /** Part of the work that comes to the first host; the rest is spread evenly. */
+  /** Fraction of the work that arrives at the first host; the rest is spread evenly. */
   hotPart: number
   seed: number
   /** Length of the run in milliseconds. */
@@ -15,18 +15,18 @@
 }
 
 interface WayFigures {
-  /** Mean of running requests over all slots. */
+  /** Mean number of running requests, as a fraction of all slots. */
   utilisation: number
-  /** Most that one target ran, over its slots. */
+  /** Maximum number of requests that one target ran, as a fraction of its slots. */
   worst: number
-  /** Part of the time that targets spent above their slots. */
+  /** Fraction of the time that targets spent above their slots. */
   timeAbove: number
 }
 
 const STEP_MS = 2
 const SERVICE_MS = 50
 
-/** Offers seeded, memoryless work to a way and counts what really runs on the targets. */
+/** Offers seeded work with memoryless service times to a strategy and counts the requests that actually run on the targets. */
 export function measureWay (way: LimitWay, setting: WaySetting): WayFigures {
   const { targets, slots, hosts, load, hotPart, seed, runMs } = setting
   const random = createSeededRandom(seed)
--- a/packages/almondrelay/src/process/limits/__fixtures__/modelHost.ts
+++ b/packages/almondrelay/src/process/limits/__fixtures__/modelHost.ts
@@ -18,7 +18,7 @@
 
 const SERVICE = 's'
 
-/** An entry host of the model: takes all the work that its slots allow, and sends some of it late. */
+/** A simulated entry host: takes all the work that its slots allow, and sends some of it late. */
 export class ModelHost extends ModelProcess {
   static readonly service = SERVICE
   private running: Running[] = []
@@ -32,14 +32,14 @@
     this.slots.adoptTargets(SERVICE, targets, options.maxDeadlineMs, this.computeNow(0))
   }
 
-  /** Slots that this host may have in use on a target, counting those in use. */
+  /** Counts the slots that this host may use on a target, including those in use. */
   countUsable (target: string, real: number): number {
     const now = this.computeNow(real)
     const busy = [...this.running, ...this.unsent].filter((each) => each.holder.startsWith(`${target}/`)).length
     return (this.slots.getFree(SERVICE, now).get(target) ?? 0) + busy + this.credits.filter((credit) => credit.target === target && credit.expiresAt > now).length
   }
 
-  /** Hears of ended work, sends what it held back, and takes what is free. */
+  /** Releases the slots of ended work, sends the delayed requests and takes the free slots. */
   advance (real: number): void {
     const now = this.computeNow(real)
     this.running.filter((each) => each.endsAt <= real).forEach((each) => this.slots.release(each.holder, now))
@@ -78,7 +78,7 @@
     return { holder: `${target}/${this.self.name}/${this.sequence}`, target, runsUntil: now + this.computeDeadline() }
   }
 
-  /** Sends now, or after whatever comes before this host acts again, a pause included. */
+  /** Sends the request now, or only when this host advances again, which may be after a pause. */
   private offer (request: Unsent, real: number): void {
     if (this.random() < 0.8) this.send(request, real)
     else this.unsent.push(request)
--- a/packages/almondrelay/src/process/limits/__fixtures__/modelProcess.ts
+++ b/packages/almondrelay/src/process/limits/__fixtures__/modelProcess.ts
@@ -3,7 +3,7 @@
 import type { RosterHost } from '../rosterHost.js'
 import type { WorldOptions } from './worldOptions.js'
 
-/** A process of the model with a monotonic clock of its own. */
+/** A simulated process with its own monotonic clock. */
 export abstract class ModelProcess {
   readonly slots: HostSlots
   pausedUntil = -Infinity
@@ -17,7 +17,7 @@
     this.slots = new HostSlots({ host: self.name, incarnation: self.incarnation, availabilityZone }, options.limits)
   }
 
-  /** This process's monotonic clock at a real time. */
+  /** Computes this process's monotonic clock at a real time. */
   computeNow (real: number): number {
     return this.offset + real * this.rate
   }
@@ -26,12 +26,12 @@
     return this.alive && real >= this.pausedUntil
   }
 
-  /** Definitive evidence arrives that another process is gone. */
+  /** Records definitive evidence that another process is gone. */
   markGone (gone: RosterHost, real: number): void {
     this.slots.markGone(gone.name, gone.incarnation, this.computeNow(real))
   }
 
-  /** Real time that a request with a deadline may run on a target, whose clock is its own. */
+  /** Computes the longest real time for which a request with a deadline may run on a target, which has its own clock. */
   protected computeLongest (runsUntil: number, real: number): number {
     const targetRate = 1 + this.options.clockSpread * (this.random() < 0.5 ? -1 : 1)
     return (runsUntil - this.computeNow(real)) / targetRate
--- a/packages/almondrelay/src/process/limits/__fixtures__/modelWorld.ts
+++ b/packages/almondrelay/src/process/limits/__fixtures__/modelWorld.ts
@@ -13,11 +13,11 @@
   receive: () => void
 }
 
-/** Longest time until a host hears of another's death while it can hear at all. */
+/** Maximum time until a reachable host receives evidence that another host is gone. */
 const NEWS_MS = 600
 const LATE_MS = 4_000
 
-/** Processes of some zones, the faults between them and what they say to each other, in virtual time. */
+/** Simulates the processes of some zones, the faults between them and the messages that they exchange, in virtual time. */
 export abstract class ModelWorld<Host extends ModelProcess> {
   static readonly quantumMs = 20
   real = 0
@@ -59,7 +59,7 @@
     this.live.forEach((host) => { host.pausedUntil = this.real })
   }
 
-  /** No more faults of messages either. */
+  /** Ends every fault and stops message faults. */
   stopFaults (): void {
     this.clearFaults()
     this.faultChance = 0
@@ -106,7 +106,7 @@
     }
   }
 
-  /** A call to the platform, whose answer may get lost after it took effect. */
+  /** Calls the platform; the answer may be lost after the call took effect. */
   protected askPlatform (call: () => void, answer: () => void): void {
     if (!this.platformUp || this.random() < this.faultChance) return
     call()
@@ -139,7 +139,7 @@
     due.filter((each) => each.from === undefined || !this.isCut(each.from, each.to)).forEach((each) => each.receive())
   }
 
-  /** A process dies, its requests run on; its peers get evidence each in its own time; it may start again. */
+  /** Kills a process while its requests run on. Each peer receives the evidence after a delay of its own, if at all; the process may start again. */
   private killHost (host: Host, startsAgain: boolean): void {
     if (this.live.length < 2) return
     host.alive = false
@@ -150,7 +150,7 @@
     if (startsAgain) this.addHost({ name: host.self.name, incarnation: host.self.incarnation + 1 }, host.availabilityZone)
   }
 
-  /** A zone's roster follows joins and losses, one a write, while the platform can be written. */
+  /** Updates a zone's roster after joins and losses, one change per write, while the platform accepts writes. */
   private publish (zone: string): void {
     if (!this.platformUp || this.random() < 0.7) return
     const roster = this.getRoster(zone)
--- a/packages/almondrelay/src/process/limits/__fixtures__/ownersWay.ts
+++ b/packages/almondrelay/src/process/limits/__fixtures__/ownersWay.ts
@@ -7,7 +7,7 @@
 const RENEW_MS = 250
 const MAX_DEADLINE_MS = 10_000
 
-/** Owners, standbys and credits as the daemon has them, with messages that take no time. */
+/** Owners, standbys and credits as in the daemon, with messages that are delivered instantly. */
 export class OwnersWay extends LimitWay {
   private readonly hosts: Array<{ self: RosterHost, slots: HostSlots }>
   private readonly runners = new Map<string, HostSlots>()
@@ -22,7 +22,7 @@
     })
     for (const host of this.hosts) host.slots.adoptTargets(SERVICE, specs, MAX_DEADLINE_MS, 0)
     for (const host of this.hosts) host.slots.adoptRoster({ version: 1, availabilityZone: ZONE, hosts: this.hosts.map(({ self }) => self) }, 0)
-    // A part's claim is ready once all but its last member have answered, hence the second round.
+    // A claim to a part is ready once all members but the last have answered, so a second round is needed.
     for (let round = 0; round < 2; round += 1) this.hosts.forEach((host) => this.claim(host))
   }
 
--- a/packages/almondrelay/src/process/limits/__fixtures__/regionHost.ts
+++ b/packages/almondrelay/src/process/limits/__fixtures__/regionHost.ts
@@ -17,13 +17,13 @@
 const REGION = 'wlg'
 const ROUTE = { service: 's', fromRegion: 'akl', toRegion: REGION }
 
-/** An entry host of the receiving region in the model: starts all the work that the limits allow. */
+/** A simulated entry host of the receiving region: starts all the work that the limits admit. */
 export class RegionHost extends ModelProcess {
   static readonly region = REGION
   static readonly limitName = `${LimitKind.region}/${REGION}`
   readonly limits: RegionLimits
   readonly lender: RegionLender
-  /** Work is offered only while this holds. */
+  /** Whether work is offered. */
   busy = true
   private running: Running[] = []
   private sequence = 0
@@ -45,7 +45,7 @@
     this.lender.markGone(gone, this.computeNow(real))
   }
 
-  /** Work that this host has or may start now. */
+  /** Counts the requests that this host runs or may start now. */
   countUsable (real: number): number {
     return this.limits.countRunning(RegionHost.limitName) + this.limits.countFree(ROUTE, this.computeNow(real))
   }
--- a/packages/almondrelay/src/process/limits/__fixtures__/regionWorld.ts
+++ b/packages/almondrelay/src/process/limits/__fixtures__/regionWorld.ts
@@ -11,15 +11,15 @@
 const ZONES = ['wlg-a', 'wlg-b']
 const LENDER_TTL_MS = 800
 
-/** The hosts of one region's zones, which share the region's capacity; `slots` of the options is that capacity. */
+/** Simulates the hosts of one region's zones, which share the region's capacity, given as `slots` in the options. */
 export class RegionWorld extends ModelWorld<RegionHost> {
   readonly work = new TargetWork()
-  /** Most requests that ran at once so far. */
+  /** Maximum number of requests that ran concurrently so far. */
   highest = 0
   private countedAfter = -Infinity
   private limit: number
   private configuration: Configuration
-  /** The platform's key `lenders/<region>` and when its lease ends. */
+  /** Holder of the platform's key `lenders/<region>` and the time at which its lease ends. */
   private lender: { name: string, incarnation: number, until: number } | undefined
 
   constructor (seed: number, options: WorldOptions) {
@@ -29,20 +29,20 @@
     for (let index = 0; index < options.hosts * ZONES.length; index += 1) this.addHost({ name: `h${index}`, incarnation: 1 }, ZONES[index % ZONES.length]!)
   }
 
-  /** Changes the limit; each host learns of it in its own time, in order. */
+  /** Changes the limit; each host adopts it after a delay of its own, in order. */
   setLimit (limit: number): void {
     this.limit = limit
     this.configuration = this.makeConfiguration(limit)
   }
 
-  /** Every host learns of the present limit at once; what is counted from here is work begun after it. */
+  /** Makes every host adopt the current limit at once; from here on only work begun later is counted. */
   adoptEverywhere (): void {
     this.live.forEach((host) => host.adoptConfiguration(this.configuration, this.real))
     this.countedAfter = this.real
     this.highest = 0
   }
 
-  /** Whether all of the limit is usable, but for the floors of zones that have lost their last host. */
+  /** Whether the whole limit is usable, except for the floors of zones that have lost their last host. */
   isWholeUsable (): boolean {
     const usable = this.live.reduce((sum, host) => sum + host.countUsable(this.real), 0)
     const lost = ZONES.filter((zone) => !this.live.some((host) => host.availabilityZone === zone))
@@ -86,12 +86,12 @@
     })
   }
 
-  /** Whoever finds the key free takes it; its holder renews the lease. The platform's clock is real time. */
+  /** Takes the key if it is free, or renews its lease if the host holds it. The platform's clock is real time. */
   private renewLender (host: RegionHost): void {
     const isHolder = this.lender?.name === host.self.name && this.lender.incarnation === host.self.incarnation
     if (this.lender !== undefined && this.real < this.lender.until && !isHolder) return
     const sentAt = host.computeNow(this.real)
-    // The holder counts less than the platform grants, since the platform's clock may run fast against its own.
+    // The holder counts a shorter term than the platform grants, since the platform's clock may run faster than its own.
     const termMs = LENDER_TTL_MS * (1 - this.options.limits.drift)
     this.askPlatform(
       () => { this.lender = { ...host.self, until: this.real + LENDER_TTL_MS } },
--- a/packages/almondrelay/src/process/limits/__fixtures__/slotWorld.ts
+++ b/packages/almondrelay/src/process/limits/__fixtures__/slotWorld.ts
@@ -8,10 +8,10 @@
 
 const ZONE = 'akl-a'
 
-/** One zone of entry hosts and its targets. */
+/** Simulates the entry hosts of one zone and their targets. */
 export class SlotWorld extends ModelWorld<ModelHost> {
   readonly work = new Map<string, TargetWork>()
-  /** Most requests that ran at once on one target so far. */
+  /** Maximum number of requests that ran concurrently on one target so far. */
   highest = 0
 
   constructor (seed: number, options: WorldOptions) {
--- a/packages/almondrelay/src/process/limits/__fixtures__/targetWork.ts
+++ b/packages/almondrelay/src/process/limits/__fixtures__/targetWork.ts
@@ -3,7 +3,7 @@
   endsAt: number
 }
 
-/** Requests as they really run, whatever any host believes. */
+/** The requests that actually run, independent of any host's state. */
 export class TargetWork {
   private running: Work[] = []
 
@@ -11,7 +11,7 @@
     this.running.push({ begunAt, endsAt })
   }
 
-  /** Requests that run at a time, of those begun after another. */
+  /** Counts the requests that run at the time `real` and began after `begunAfter`. */
   count (real: number, begunAfter = -Infinity): number {
     this.running = this.running.filter((work) => work.endsAt > real)
     return this.running.filter((work) => work.begunAt > begunAfter).length
--- a/packages/almondrelay/src/process/limits/__fixtures__/worldOptions.ts
+++ b/packages/almondrelay/src/process/limits/__fixtures__/worldOptions.ts
@@ -1,6 +1,6 @@
 import type { LimitsOptions } from '../limitsOptions.js'
 
-/** Figures of a model run, smaller than the daemon's so that more happens in a run. */
+/** Parameters of a simulation run; times are shorter than the daemon's so that more events fit into a run. */
 export interface WorldOptions {
   hosts: number
   targets: number
@@ -11,6 +11,6 @@
   clockSpread: number
   /** Chance that a message is lost, repeated or very late. */
   faultChance: number
-  /** Guard that is off, to show that the model finds the fault. */
+  /** Guard that is disabled, to show that the simulation finds the resulting failure. */
   guardOff?: 'termFromSending' | 'claims'
 }
--- a/packages/almondrelay/src/process/limits/__fixtures__/worldStep.ts
+++ b/packages/almondrelay/src/process/limits/__fixtures__/worldStep.ts
@@ -1,4 +1,4 @@
-/** One step of a model run: a fault or its end, and then some time. */
+/** One step of a simulation run: a fault or the end of one, followed by some time. */
 export interface WorldStep {
   kind: 'none' | 'pause' | 'cut' | 'kill' | 'join' | 'platformDown' | 'platformUp' | 'mend'
   /** Index of the host concerned, modulo the number of live ones. */
@@ -6,6 +6,6 @@
   other: number
   /** Length of a pause or a cut, in milliseconds of real time. */
   faultMs: number
-  /** Real time that passes after it, in milliseconds. */
+  /** Real time that passes after the fault, in milliseconds. */
   ms: number
 }
--- a/packages/almondrelay/src/process/limits/__fixtures__/worldStepArbitrary.ts
+++ b/packages/almondrelay/src/process/limits/__fixtures__/worldStepArbitrary.ts
@@ -3,7 +3,7 @@
 
 const kinds = ['none', 'none', 'pause', 'pause', 'cut', 'cut', 'kill', 'join', 'platformDown', 'platformUp', 'platformUp', 'mend'] as const
 
-/** Any step of a model run. */
+/** Generates any step of a simulation run. */
 export const worldStep: fc.Arbitrary<WorldStep> = fc.record({
   kind: fc.constantFrom(...kinds),
   host: fc.nat(9),
--- a/packages/almondrelay/src/process/limits/__tests__/hostSlots.test.ts
+++ b/packages/almondrelay/src/process/limits/__tests__/hostSlots.test.ts
@@ -20,7 +20,7 @@
 
 const countFree = (slots: HostSlots, now: number): number => slots.getFree('s', now).get('t1') ?? 0
 
-test('a host owns nothing before it has a roster, and all of it alone', () => {
+test('a host owns no slots before it has a roster, and all slots when it is alone in its roster', () => {
   const slots = createSlots('a')
   assert.is(countFree(slots, 0), 0)
   slots.adoptRoster(makeRoster(1, 'a'), 0)
@@ -38,7 +38,7 @@
   assert.is(countFree(slots, 1_000), 5)
 })
 
-test('a credit takes a slot, is good once, and comes back when it lapses', () => {
+test('a credit occupies a slot, can be used once, and frees the slot when it is returned or expires', () => {
   const slots = createSlots('a')
   slots.adoptRoster(makeRoster(1, 'a'), 0)
   const credits = slots.grantCredits('s', 'wlg-a-1', 10, 0)
@@ -52,7 +52,7 @@
   assert.is(countFree(slots, 1_000), 4)
 })
 
-test('with two hosts the owner has its floor alone, and the rest on a lease of its standby', () => {
+test('with two hosts the owner uses its floor without a lease, and the rest on a lease from its standby', () => {
   const roster = makeRoster(1, 'a', 'b')
   const { owner, standby } = chooseOwners('s/t1', roster)
   const holder = createSlots(owner!.name)
--- a/packages/almondrelay/src/process/limits/__tests__/hostSlotsModel.test.ts
+++ b/packages/almondrelay/src/process/limits/__tests__/hostSlotsModel.test.ts
@@ -8,14 +8,14 @@
 import { worldStep } from '../__fixtures__/worldStepArbitrary.js'
 import type { WorldStep } from '../__fixtures__/worldStep.js'
 
-// What a user would see without the guards: a target gets more requests at once than it can run, and
-// answers slowly or sheds. A host is paused, cut off or dies; another takes its slots over; the first
-// wakes, or its requests run on, while the second already fills the target. The cause is always that
-// two hosts count the same slots as theirs.
+// Failure that these tests guard against: a target gets more concurrent requests than it has slots, and answers
+// slowly or sheds load, because two hosts use the same slots. This happens when a host is paused, cut off or killed
+// and another host takes over its slots: the first host resumes, or its requests run on, while the second host
+// already sends to the target.
 
 const SEED = 20_261_202
 const SLOTS = 5
-/** Time until rosters and evidence have reached all hosts. */
+/** Time until all hosts have received rosters and evidence. */
 const NEWS_MS = 1_000
 
 const options: WorldOptions = {
@@ -37,7 +37,7 @@
   return world
 }
 
-test('the limit of a target is never passed', () => {
+test('the limit of a target is never exceeded', () => {
   fc.assert(fc.property(run, ([seed, hosts, steps]) => {
     assert.ok(runWorld(seed, steps, { ...options, hosts }).highest <= SLOTS)
   }), { seed: SEED, numRuns: 1_000 })
@@ -74,7 +74,7 @@
   'the term counted from the sending': { ...options, guardOff: 'termFromSending' },
   'the claim to all live members': { ...options, guardOff: 'claims' }
 } satisfies Record<string, WorldOptions>)) {
-  test(`finds the fault when the guard is off: ${name}`, () => {
+  test(`finds the failure when a guard is disabled: ${name}`, () => {
     const found = fc.check(fc.property(run, ([seed, hosts, steps]) => {
       return runWorld(seed, steps, { ...broken, hosts }).highest <= SLOTS
     }), { seed: SEED, numRuns: 300, endOnFailure: true })
--- a/packages/almondrelay/src/process/limits/__tests__/limitWays.test.ts
+++ b/packages/almondrelay/src/process/limits/__tests__/limitWays.test.ts
@@ -7,7 +7,7 @@
 
 const SEED = 20_261_202
 
-/** A zone of today (two hosts), and one of the target size (sixty), each with a host that gets most of the work. */
+/** A zone of the current size (two hosts) and one of the target size (sixty), each with one host that gets most of the work. */
 const zones = [
   { name: 'today', hosts: 2, targets: 9, slots: 4, runMs: 20_000 },
   { name: 'target size', hosts: 60, targets: 180, slots: 4, runMs: 1_000 }
@@ -15,7 +15,7 @@
 
 for (const zone of zones) {
   for (const load of [0.9, 1.5]) {
-    test(`${zone.name}, load ${load}: owners use more than an equal split and never pass the limit, which correction does`, () => {
+    test(`${zone.name}, load ${load}: slot ownership uses more than an equal split and never exceeds the limit, which correction by load reports does`, () => {
       const targets = Array.from({ length: zone.targets }, (_, index) => `t${index}`)
       const setting = { targets, slots: zone.slots, hosts: zone.hosts, load, hotPart: 0.6, seed: SEED, runMs: zone.runMs }
       const owners = measureWay(new OwnersWay(targets, zone.slots, zone.hosts), setting)
--- a/packages/almondrelay/src/process/limits/__tests__/partClaims.test.ts
+++ b/packages/almondrelay/src/process/limits/__tests__/partClaims.test.ts
@@ -41,7 +41,7 @@
   }
 }
 
-/** The host that owns the part when all three are in the roster, and the two others. */
+/** Splits the hosts into the owner of the part with all three in the roster, the owner without that host, and the third host. */
 function splitHosts (): { joining: RosterHost, former: RosterHost, third: RosterHost } {
   const joining = chooseOwners(KEY, { hosts: HOSTS }).owner!
   const others = HOSTS.filter((host) => host !== joining)
@@ -50,8 +50,8 @@
 }
 
 test('a former owner uses a part until every other member has cleared the new one', () => {
-  // A host joins and ranks first for a target. The third member is frozen and can't answer. If the former
-  // owner let go at once, nobody could use the target until the third one wakes.
+  // A host joins and ranks first for a target, while the third member is frozen and can't answer. If the former
+  // owner handed the part over at once, no host could use the target until the third member resumes.
   const { joining, former, third } = splitHosts()
   const user = new FakeUser()
   const holder = createClaims(former, user)
@@ -75,7 +75,7 @@
   assert.is(holder.isHeld(PART.id), false)
 })
 
-test('a host waits for lost hosts that it never saw, unless the zone has lost none', () => {
+test('a host waits for the work of lost hosts that it never knew, unless the zone has lost none', () => {
   for (const [lastLossVersion, takesAtOnce] of [[0, true], [2, false], [undefined, false]] as const) {
     const { joining, former } = splitHosts()
     const claimer = createClaims(joining)
@@ -91,9 +91,9 @@
 })
 
 test('a restarted host does not answer for its former incarnation', () => {
-  // Found by the model (seed 1001877 of a trial): a host joins, and the owner of a target is killed and starts
-  // again before the joining host has heard of it. The new process says, truly, that it holds nothing; taken for
-  // the word of the former one, it lets the joining host fill a target on which the dead one's requests still run.
+  // Found by the simulation (trial with seed 1001877): a host joins, and the owner of a target is killed and restarts
+  // before the joining host is informed. The new process answers correctly that it holds nothing. If that counted as
+  // the former incarnation's answer, the joining host would send to a target on which the killed process's requests still run.
   const { joining, former } = splitHosts()
   const claimer = createClaims(joining)
   const restarted = createClaims({ ...former, incarnation: 2 })
@@ -104,14 +104,14 @@
   assert.is(claimer.isHeld(PART.id), false)
   claimer.markGone(former, 6 * WAIT_MS)
   claimer.advance(6 * WAIT_MS)
-  assert.is(claimer.isHeld(PART.id), false, 'the requests of the dead one may still run')
+  assert.is(claimer.isHeld(PART.id), false, 'the requests of the killed process may still run')
   claimer.advance(8 * WAIT_MS)
   assert.ok(claimer.isHeld(PART.id))
 })
 
-test('an answer given at an earlier view comes too late to count', () => {
-  // The third member says that it holds nothing, and its answer is held up. Meanwhile the roster changes twice,
-  // and the part becomes the third member's. Counted now, the old answer would give the part to two hosts.
+test('an answer given at an earlier view is dropped', () => {
+  // The third member answers that it holds nothing, and its answer is delayed. Meanwhile the roster changes twice,
+  // and the third member takes the part. If the old answer counted now, two hosts would hold the part.
   const { joining, former, third } = splitHosts()
   const claimer = createClaims(joining)
   const other = createClaims(third)
--- a/packages/almondrelay/src/process/limits/__tests__/regionLimits.test.ts
+++ b/packages/almondrelay/src/process/limits/__tests__/regionLimits.test.ts
@@ -26,7 +26,7 @@
   return Configuration.restore(1, resources)
 }
 
-/** A host alone in its region's only zone, with no lender: it has the floor, half of each limit. */
+/** Creates the limits of a host that is alone in its region's only zone and has no lender: its floor is half of each limit. */
 function createLimits (sizes: Sizes): RegionLimits {
   const identity = { host: 'a', incarnation: 1, availabilityZone: 'wlg-a', region: 'wlg' }
   const slots = new HostSlots(identity)
@@ -51,14 +51,14 @@
   }
 })
 
-test('links and shift caps count only work from elsewhere, the region counts all', () => {
+test('links and shift caps count only work from other regions, the region limit counts all work', () => {
   const limits = createLimits({ link: 0, cap: 0, region: 2 })
   assert.ok(limits.acquire(OWN, 'r1', 1_000, 0).allowed)
   assert.is(limits.countRunning('region/wlg'), 1)
   assert.is(limits.countFree({ ...REMOTE, service: 'other' }, 0), 0)
 })
 
-test('a lowered cap holds for the next request, whatever still runs', () => {
+test('a lowered cap applies to the next request, whatever still runs', () => {
   const limits = createLimits({ cap: 8 })
   for (let index = 0; index < 4; index += 1) assert.ok(limits.acquire(REMOTE, `r${index}`, 1_000, 0).allowed)
   limits.adoptConfiguration(makeConfiguration({ cap: 4 }), MAX_DEADLINE_MS, 10)
@@ -68,7 +68,7 @@
   assert.ok(limits.acquire(REMOTE, 'r6', 1_000, 30).allowed)
 })
 
-test('the room of a credit passes to its request, and comes back from one that expires', () => {
+test('the capacity of a credit passes to its request, and is freed when a credit expires', () => {
   const limits = createLimits({ cap: 4 })
   assert.ok(limits.acquireForCredit(REMOTE, 'c1', 1_000, 0).allowed)
   assert.ok(limits.acquireForCredit(REMOTE, 'c2', 1_000, 0).allowed)
--- a/packages/almondrelay/src/process/limits/__tests__/regionLimitsModel.test.ts
+++ b/packages/almondrelay/src/process/limits/__tests__/regionLimitsModel.test.ts
@@ -8,9 +8,9 @@
 import type { WorldStep } from '../__fixtures__/worldStep.js'
 import { worldStep } from '../__fixtures__/worldStepArbitrary.js'
 
-// What a user would see without the guards: a region or a link carries more than its operator allowed,
-// just when it is full. A host that has capacity on loan is paused, cut off or dies, the lender of the
-// region changes, and the same capacity is lent a second time while the first borrower's requests run.
+// Failure that these tests guard against: a region or a link at its limit carries more than its operator allowed.
+// This happens when a host with capacity on loan is paused, cut off or killed, the lender of the region changes,
+// and the same capacity is lent a second time while the first borrower's requests still run.
 
 const SEED = 20_261_202
 const LIMIT = 17
@@ -52,7 +52,7 @@
   }), { seed: SEED, numRuns: 150 })
 })
 
-test('of the work begun since every host knows of a lowered limit, never more runs than that', () => {
+test('work begun after every host has adopted a lowered limit never exceeds that limit', () => {
   fc.assert(fc.property(run, fc.integer({ min: 0, max: LIMIT - 1 }), ([seed, hosts, steps], lowered) => {
     const world = runWorld(seed, steps, { ...options, hosts })
     world.setLimit(lowered)
@@ -66,7 +66,7 @@
   'the wait for the longest deadline': { ...options, limits: { ...options.limits, slackMs: -options.maxDeadlineMs } },
   'the claim to all live members': { ...options, guardOff: 'claims' }
 } satisfies Record<string, WorldOptions>)) {
-  test(`finds the fault when the guard is off: ${name}`, () => {
+  test(`finds the failure when a guard is disabled: ${name}`, () => {
     const found = fc.check(fc.property(run, ([seed, hosts, steps]) => {
       return runWorld(seed, steps, { ...broken, hosts }).highest <= LIMIT
     }), { seed: SEED, numRuns: 300, endOnFailure: true })
@@ -74,8 +74,8 @@
   })
 }
 
-test('finds the fault when the guard is off: the term counted from the sending', () => {
-  // A borrower is paused between its request and the answer. Counted from the answer, its loan would begin when it wakes.
+test('finds the failure when a guard is disabled: the term counted from the sending', () => {
+  // A borrower is paused between its request and the answer. Counted from the answer, the loan's term would begin when the borrower resumes.
   const pauses = fc.array(fc.record({ host: fc.nat(9), faultMs: fc.integer({ min: 3_000, max: 6_000 }), ms: fc.integer({ min: 6_000, max: 8_000 }) }), { minLength: 10, maxLength: 20 })
   const found = fc.check(fc.property(fc.integer(), pauses, (seed, steps) => {
     const paused = steps.map((step) => ({ ...step, kind: 'pause' as const, other: 0 }))
--- a/packages/almondrelay/src/process/limits/chooseOwners.ts
+++ b/packages/almondrelay/src/process/limits/chooseOwners.ts
@@ -9,7 +9,7 @@
   standby: RosterHost | undefined
 }
 
-/** The host that owns a target's floor, and the one that grants it the rest; the key is `<service>/<target>`. */
+/** Chooses the owner of a target, which holds its floor, and the standby, which grants the owner the rest. The key is `<service>/<target>`. */
 export function chooseOwners (key: string, roster: Pick<Roster, 'hosts'>): Owners {
   const [owner, standby] = rankHosts(key, roster.hosts)
   return { owner, standby }
--- a/packages/almondrelay/src/process/limits/computeZoneFloor.ts
+++ b/packages/almondrelay/src/process/limits/computeZoneFloor.ts
@@ -1,7 +1,8 @@
 /**
- * The part of a limit that an availability zone may use whatever happens: half of the limit, rounded up,
- * spread over the zones, the first ones taking what doesn't divide. The other half is the lender's.
- * Both grow with the limit, so a share granted under a smaller limit never passes a larger one.
+ * Computes the floor of an availability zone: the share of a limit that the zone may use without a loan.
+ * The floors together are half of the limit, rounded up, divided evenly over the zones in order of their names;
+ * the remainder of the division goes to the first zones, one each. The other half is lent by the region's lender.
+ * Floors and the lent half never shrink as the limit grows, so capacity granted under a smaller limit never exceeds a larger one.
  */
 export function computeZoneFloor (limit: number, zones: readonly string[], availabilityZone: string): number {
   const index = [...zones].sort().indexOf(availabilityZone)
--- a/packages/almondrelay/src/process/limits/creditLedger.ts
+++ b/packages/almondrelay/src/process/limits/creditLedger.ts
@@ -7,16 +7,16 @@
 }
 
 /**
- * Credits that this host has granted. A credit takes up a slot until it is used, returned or lapses on
- * the grantor's own clock, and is good once: a repeated or late use finds nothing and is refused, which
- * is truthful because the grantor is the one that would run it.
+ * Credits that this host has granted. A credit occupies a slot until it is used, returned or expires on
+ * the grantor's own clock, and can be used only once. A repeated or late use finds no credit and is refused;
+ * the refusal is definitive, because only the grantor would have run the request.
  */
 export class CreditLedger {
-  /** In order of expiry, since all have one term. */
+  /** In order of expiry, since all credits have the same term. */
   private readonly entries = new Map<string, LedgerEntry>()
   private sequence = 0
 
-  /** `prefix` keeps the ids of one process apart from those of all others. */
+  /** `prefix` makes the credit ids unique across processes. */
   constructor (private readonly prefix: string, private readonly termMs: number) {}
 
   grant (slots: TargetSlots, now: number): Credit {
@@ -27,7 +27,7 @@
     return credit
   }
 
-  /** Takes the credit out; undefined when it has lapsed, was used or was never granted here. */
+  /** Removes the credit and returns its target's slots; undefined when the credit has expired, was used or was never granted here. */
   take (id: string, now: number): TargetSlots | undefined {
     this.expire(now)
     const entry = this.entries.get(id)
--- a/packages/almondrelay/src/process/limits/decideRoster.ts
+++ b/packages/almondrelay/src/process/limits/decideRoster.ts
@@ -3,17 +3,20 @@
 import type { RosterHost } from './rosterHost.js'
 
 interface RosterInput {
-  /** Undefined while the platform has none for the zone. */
+  /** Undefined while the platform has no roster for the zone. */
   roster: Roster | undefined
   availabilityZone: string
   self: RosterHost
-  /** False once this host leaves. */
+  /** False once this host is leaving. */
   joins: boolean
-  /** Processes that are gone, by definitive evidence only. */
+  /** Processes that are gone, on definitive evidence only. */
   gone: readonly RosterHost[]
 }
 
-/** The roster to write next; undefined when nothing is to change. A newer incarnation replaces an older one of its name, never the other way round. */
+/**
+ * Decides the roster to write next; undefined when nothing changes. A newer incarnation
+ * replaces an older one of the same name, never the other way round.
+ */
 export function decideRoster (input: RosterInput): Roster | undefined {
   const { roster, self, joins, gone } = input
   const former = roster?.hosts ?? []
--- a/packages/almondrelay/src/process/limits/describeGiven.ts
+++ b/packages/almondrelay/src/process/limits/describeGiven.ts
@@ -4,7 +4,7 @@
 import type { PartState } from './partState.js'
 import type { RosterHost } from './rosterHost.js'
 
-/** What a host that gave a part up tells the one that asks for it; nothing where it binds nobody. */
+/** Describes the hand-over of a part to the host that claims the part; empty where it went to another host and no grant still binds. */
 export function describeGiven (state: PartState | undefined, sender: RosterHost, viewKey: string, now: number): PartHandOver[] {
   const given = state?.given
   if (state === undefined || given === undefined) return []
--- a/packages/almondrelay/src/process/limits/givenPart.ts
+++ b/packages/almondrelay/src/process/limits/givenPart.ts
@@ -1,12 +1,13 @@
 import type { PartGrant } from './partGrant.js'
 import type { RosterHost } from './rosterHost.js'
 
-/** What a host remembers of a part that it has given up. */
+/** A host's record of a part that it has handed over. */
 export interface GivenPart {
   to: RosterHost
-  /** View at which it was given up. */
+  /** Key of the view at which the part was handed over. */
   viewKey: string
+  /** Monotonic time of the hand-over. */
   at: number
-  /** Grants that bound at that time. */
+  /** Grants that were binding at that time. */
   grants: PartGrant[]
 }
--- a/packages/almondrelay/src/process/limits/hostSlots.ts
+++ b/packages/almondrelay/src/process/limits/hostSlots.ts
@@ -23,12 +23,12 @@
 }
 
 /**
- * The target slots that one host may use, over all services of its availability zone: what it owns, what
- * it has on lease, what it has granted as credits. Until a roster is adopted it owns nothing; alone in
- * its roster it owns all. `now` is always this host's monotonic clock in milliseconds.
+ * The target slots that one host may use, over all services of its availability zone: those it owns, those
+ * it has on lease, and those it has granted as credits. The host owns nothing until a roster is adopted; if it is
+ * the only host of the roster, it owns all slots. `now` is always this host's monotonic clock in milliseconds.
  */
 export class HostSlots {
-  /** Who holds what in the zone; shared with the zone's parts of region limits. */
+  /** Which host holds which part in the zone; shared with the zone's shares of region limits. */
   readonly claims: PartClaims
   private readonly self: RosterHost
   private readonly options: LimitsOptions
@@ -44,7 +44,7 @@
     this.ledger = new CreditLedger(`${identity.host};${identity.incarnation}`, this.options.creditTermMs)
   }
 
-  /** Rosters of other zones and older ones change nothing. */
+  /** Adopts a newer roster of the own zone; rosters of other zones and older ones are ignored. */
   adoptRoster (roster: Roster, now: number): void {
     if (roster.availabilityZone !== this.identity.availabilityZone) return
     this.claims.adoptRoster(roster, now)
@@ -52,8 +52,8 @@
   }
 
   /**
-   * The service's targets of the own zone, replacing the former ones. `maxDeadlineMs` bounds every
-   * `runsUntil` and has to be the same on all hosts of a fleet: others wait that long for this host's work.
+   * Replaces the service's targets by those of the own zone. `maxDeadlineMs` bounds every `runsUntil` and
+   * must be the same on all hosts of a fleet, because peers wait that long for this host's work to end.
    */
   adoptTargets (service: string, targets: readonly TargetSpec[], maxDeadlineMs: number, now: number): void {
     const known = this.getService(service)
@@ -70,7 +70,7 @@
     this.claims.advance(now)
   }
 
-  /** Definitive evidence that a process is gone. Suspicion has no method here: it frees nothing. */
+  /** Records definitive evidence that a process is gone. There is no method for a suspicion, because a suspicion frees no slots. */
   markGone (host: string, incarnation: number, now: number): void {
     const gone = { name: host, incarnation }
     this.claims.markGone(gone, now)
@@ -78,7 +78,7 @@
     this.claims.advance(now)
   }
 
-  /** Slots that this host's own requests may take just now, by target, for the targets that it is owner or standby of. */
+  /** Returns the free slots for this host's own requests, by target, for the targets of which it is owner or standby. */
   getFree (service: string, now: number): Map<string, number> {
     this.advance(now)
     const free = new Map<string, number>()
@@ -86,14 +86,14 @@
     return free
   }
 
-  /** Requests of this host that run on the service's targets. */
+  /** Counts this host's requests that are running on the service's targets. */
   countRunning (service: string): number {
     return [...this.getService(service).values()].reduce((sum, slots) => sum + slots.running, 0)
   }
 
   /**
-   * Takes a slot for a request that ends by `runsUntil`. The caller checks `now < runsUntil` again after
-   * its last await before the first byte goes out: others count on nothing running past it.
+   * Takes a slot for a request that ends by `runsUntil`. The calling code must check `now < runsUntil` again after
+   * its last await, before it sends the first byte, because peers rely on nothing running past that time.
    */
   acquire (service: string, target: string, holder: string, runsUntil: number, now: number): boolean {
     this.advance(now)
@@ -102,7 +102,7 @@
     return this.begin(slots, holder, runsUntil, now)
   }
 
-  /** The request's answer or refusal is known. Releasing twice, or what was never acquired, changes nothing. */
+  /** Releases the slot once the request's answer or refusal is known. Releasing it twice, or without having acquired it, has no effect. */
   release (holder: string, now: number): void {
     const slots = this.holders.get(holder)
     if (slots === undefined) return
@@ -112,8 +112,8 @@
   }
 
   /**
-   * Credits for a sender, at most `wanted`, from the targets with the most free slots, leaving a reserve
-   * for own callers. `isUsable` leaves out targets that take no new work: leaving, slow or silent ones.
+   * Grants a sender at most `wanted` credits from the targets with the most free slots, keeping a reserve
+   * for this host's own callers. `isUsable` excludes targets that take no new work: leaving, slow or unresponsive ones.
    */
   grantCredits (service: string, sender: string, wanted: number, now: number, isUsable: (target: string) => boolean = () => true): Credit[] {
     this.advance(now)
@@ -129,7 +129,7 @@
     return credits
   }
 
-  /** Turns a credit into a running request; undefined, and nothing runs, when it lapsed, was used or the slot is no longer this host's. */
+  /** Turns a credit into a running request; undefined, with nothing run, when the credit expired, was used or its slot is no longer this host's. */
   useCredit (creditId: string, holder: string, runsUntil: number, now: number): UsedCredit | undefined {
     const slots = this.ledger.take(creditId, now)
     if (slots === undefined || slots.running + slots.credits >= slots.computeCapacity(now)) return undefined
@@ -140,7 +140,7 @@
     ids.forEach((id) => this.ledger.take(id, now))
   }
 
-  /** Leases to ask for now, one request for each standby. Terms count from `now`: send at once. */
+  /** Plans the leases to request now, one request for each standby. Terms count from `now`, so the requests must be sent at once. */
   planRenewals (now: number): LeaseRequest[] {
     this.advance(now)
     const requests = new Map<string, LeaseRequest>()
@@ -154,12 +154,12 @@
     return [...requests.values()]
   }
 
-  /** The standby's answer to this very request, however late or often it comes. */
+  /** Applies the standby's answer to the given request. A late or repeated answer is harmless: terms count from the sending of that request. */
   acceptGrant (request: LeaseRequest, granted: readonly SlotLease[]): void {
     for (const lease of granted) this.services.get(lease.service)?.get(lease.target)?.acceptLease(lease, request.sentAt)
   }
 
-  /** As standby: grants what no work of its own and no other grant is on. */
+  /** As standby: grants the leases whose slots are used neither by this host's own work nor under another host's grant. */
   grantLeases (sender: RosterHost, leases: readonly SlotLease[], now: number): LeaseGrant {
     this.advance(now)
     const answer: LeaseGrant = { granted: [], refused: [] }
@@ -183,7 +183,10 @@
     return true
   }
 
-  /** Configured targets of which this host holds a part; kept until a part or the configuration changes, so that a request's cost doesn't grow with the zone. */
+  /**
+   * Lists the configured targets of which this host holds a part; cached until a part or the
+   * configuration changes, so that the cost of a request doesn't grow with the zone.
+   */
   private listHeld (service: string): TargetSlots[] {
     const kept = this.held.get(service)
     if (kept !== undefined && kept.epoch === this.claims.epoch) return kept.slots
@@ -202,7 +205,7 @@
     return [...this.services.values()].flatMap((targets) => [...targets.values()])
   }
 
-  /** A target that left the configuration is forgotten only once nothing runs or is granted on it. */
+  /** Removes targets that are no longer configured, each only once nothing runs on it and no grant on it binds. */
   private prune (now: number): void {
     for (const targets of this.services.values()) {
       for (const slots of [...targets.values()].filter((each) => !each.configured && each.isIdle(now))) {
--- a/packages/almondrelay/src/process/limits/hostSlotsIdentity.ts
+++ b/packages/almondrelay/src/process/limits/hostSlotsIdentity.ts
@@ -1,4 +1,4 @@
-/** Which process of which zone keeps these slots. */
+/** The process, and its availability zone, that a HostSlots accounts for. */
 export interface HostSlotsIdentity {
   host: string
   incarnation: number
--- a/packages/almondrelay/src/process/limits/isSameHost.ts
+++ b/packages/almondrelay/src/process/limits/isSameHost.ts
@@ -1,6 +1,6 @@
 import type { RosterHost } from './rosterHost.js'
 
-/** Whether both name the same process, not only the same machine. */
+/** Whether both are the same process (name and incarnation), not only the same machine. */
 export function isSameHost (left: RosterHost, right: RosterHost): boolean {
   return left.name === right.name && left.incarnation === right.incarnation
 }
--- a/packages/almondrelay/src/process/limits/isTakeable.ts
+++ b/packages/almondrelay/src/process/limits/isTakeable.ts
@@ -3,8 +3,8 @@
 import type { PartState } from './partState.js'
 
 /**
- * Whether what the former holder of a part granted can't bind any more: it handed the part over, its longest grant has
- * run out, or nobody but this host could have a grant. Without this wait the part's limit would be passed.
+ * Whether a part can be taken without violating grants of a former holder: the former holder handed the part over, its
+ * longest possible grant has expired, or only this host can have a grant. Without this wait the part's limit would be exceeded.
  */
 export function isTakeable (state: PartState, options: LimitsOptions, now: number): boolean {
   if (state.handOvers.some((handOver) => handOver.toAsker)) return true
--- a/packages/almondrelay/src/process/limits/leaseRequest.ts
+++ b/packages/almondrelay/src/process/limits/leaseRequest.ts
@@ -1,10 +1,10 @@
 import type { SlotLease } from './slotLease.js'
 
-/** What an owner asks of one standby. */
+/** An owner's request to one standby. */
 export interface LeaseRequest {
-  /** Name of the host that is asked. */
+  /** Name of the host that the request goes to. */
   standby: string
-  /** Monotonic time of sending on the asker's clock, from which the term counts. */
+  /** Monotonic time of sending on the requesting host's clock, from which the term counts. */
   sentAt: number
   leases: SlotLease[]
 }
--- a/packages/almondrelay/src/process/limits/limitBorrower.ts
+++ b/packages/almondrelay/src/process/limits/limitBorrower.ts
@@ -9,23 +9,23 @@
 }
 
 interface BorrowerNeed {
-  /** Capacity on loan that this borrower would like to have. */
+  /** Capacity on loan that this borrower wants. */
   wanted: number
-  /** Capacity on loan that its work uses just now. */
+  /** Capacity on loan that its running work uses. */
   used: number
-  /** The limit's present size. */
+  /** The limit's current size. */
   limit: number
 }
 
-/** Part of a term that may pass before a loan is renewed: two renewals may be lost before it lapses. */
+/** Fraction of a term after which a loan is renewed: two renewals can be lost before the loan expires. */
 const RENEW_AFTER = 1 / 3
-/** Wait for an answer in milliseconds before asking again: several round trips between the farthest regions. */
+/** Time to wait for an answer before the next request: several round trips between the regions that are farthest apart. */
 const ANSWER_MS = 500
 
 /**
  * Capacity on loan to one borrower. A loan is usable from its answer until its term, counted from the
- * sending of the request, is over, and only while the limit is at least as large as when it was lent:
- * so a lowered limit holds at once, at every borrower that knows of it, without a word to the lender.
+ * sending of the request, ends, and only while the limit is at least as large as when the loan was granted.
+ * A lowered limit therefore applies at once at every borrower that knows of it, without a message to the lender.
  */
 export class LimitBorrower {
   private readonly loans = new Map<string, Held>()
@@ -36,14 +36,14 @@
 
   constructor (private readonly name: string, private readonly termMs: number) {}
 
-  /** Capacity usable now or, where no renewal comes, at a time to come. */
+  /** Returns the capacity on loan that is usable at `now`; for a future time, the capacity if no loan is renewed. */
   countUsable (limit: number, now: number): number {
     let sum = 0
     for (const loan of this.loans.values()) if (now < loan.until && loan.limit <= limit) sum += loan.amount
     return sum
   }
 
-  /** The next request; undefined when nothing is to be asked or an answer may still come. A request replaces those before it. */
+  /** Plans the next request; undefined when there is nothing to request or an answer may still arrive. A request supersedes earlier ones. */
   plan (need: BorrowerNeed, now: number): LoanRequest | undefined {
     if (this.isWaiting && now < this.askedAt + ANSWER_MS) return undefined
     for (const [id, loan] of this.loans) if (now >= loan.until) this.loans.delete(id)
@@ -57,7 +57,7 @@
     return { limit: this.name, sequence: this.sequence, sentAt: now, wanted: lacking, renewed: due.map(([id]) => id), returned: [...this.returned] }
   }
 
-  /** Takes an answer to the last request; one to an earlier request is dropped, and its new loans lapse unused. */
+  /** Applies an answer to the last request. An answer to an earlier request is dropped, and its new loans expire unused. */
   accept (request: LoanRequest, answer: LoanAnswer): void {
     if (request.sequence !== this.sequence) return
     this.isWaiting = false
@@ -68,12 +68,12 @@
     }
   }
 
-  /** Takes over a loan that is not asked for, such as what a holder keeps when it hands a share over. */
+  /** Adds a loan that was not requested, such as the capacity that a holder keeps when it hands a share over. */
   acceptLoan (id: string, amount: number, limit: number, until: number): void {
     this.loans.set(id, { amount, limit, until })
   }
 
-  /** Gives everything back; the caller makes sure that no work needs it. An answer on its way can't bring a loan back to life. */
+  /** Returns all loans; the calling code must make sure that no work needs them. An answer still in transit can't restore a returned loan. */
   returnAll (): void {
     this.sequence += 1
     this.returned.push(...this.loans.keys())
--- a/packages/almondrelay/src/process/limits/limitKind.ts
+++ b/packages/almondrelay/src/process/limits/limitKind.ts
@@ -1,10 +1,10 @@
-/** What a limit bounds; its value begins the limit's name. */
+/** What a limit bounds; the value is the prefix of the limit's name. */
 const LimitKind = {
   /** All work that a region's targets run. */
   region: 'region',
-  /** Work from one region in another. */
+  /** Work that comes from one region and runs in another. */
   link: 'link',
-  /** The same, as an operator caps it, for one service or all. */
+  /** Work that comes from one region and runs in another, as capped by an operator for one service or for all. */
   shift: 'shift'
 } as const
 
--- a/packages/almondrelay/src/process/limits/limitLender.ts
+++ b/packages/almondrelay/src/process/limits/limitLender.ts
@@ -7,13 +7,13 @@
 import type { RosterHost } from './rosterHost.js'
 
 interface LenderTerms {
-  /** The limit's present size. */
+  /** The limit's current size. */
   limit: number
-  /** Capacity that may be lent and not be back at a time to come, at most. */
+  /** Computes the maximum capacity that may still be out on loan at a future time. */
   computePool: (at: number) => number
   /** Longest time for which work begun on a loan may run after the loan's end. */
   maxDeadlineMs: number
-  /** What a borrower may hold while others lack capacity. */
+  /** Maximum capacity that a borrower may hold while other borrowers lack capacity. */
   fairShare: number
 }
 
@@ -23,16 +23,16 @@
 }
 
 /**
- * Lends capacity out of a pool that it alone holds. A loan counts against the pool until it is returned,
- * or until its term, counted on the lender's clock from the answer and with the drift margin, and then
- * the longest deadline have passed. A repeated request gets its first answer; an older one gets nothing.
+ * Lends capacity from a pool that no other lender uses. A loan counts against the pool until it is returned,
+ * or until its term and then the longest deadline have passed; the lender counts both on its own clock from its
+ * answer, with the drift margin. A repeated request gets its first answer again; an older request gets no loans.
  *
- * Guards against a borrower that froze or was cut off and whose requests still run, while its capacity
- * has gone to another: a region or link would carry both. The borrower counts the term from the sending
- * of its request, which is before the lender counts it from.
+ * This guards against lending capacity a second time while requests of a borrower that froze or was cut off
+ * still run: a region or link would carry the work of both borrowers. The borrower counts the term from the
+ * sending of its request, which is earlier than the answer from which the lender counts.
  *
- * While some borrower lacks capacity, none gets or keeps more than its fair share beyond the present
- * term. Without that whoever came first would hold everything for as long as it is busy.
+ * While some borrower lacks capacity, no other borrower gets more than its fair share, nor keeps more beyond the
+ * current term. Otherwise the first borrower would hold the whole pool for as long as it is busy.
  */
 export class LimitLender {
   private readonly loans = new Map<string, Loan>()
@@ -40,7 +40,7 @@
   private readonly short = new Map<string, Shortage>()
   private created = 0
 
-  /** `prefix` keeps the ids of one lender apart from those of all others. */
+  /** `prefix` makes the loan ids unique across lenders. */
   constructor (private readonly prefix: string, private readonly termMs: number, private readonly options: LimitsOptions) {}
 
   lend (borrower: RosterHost, request: LoanRequest, terms: LenderTerms, now: number): LoanAnswer {
@@ -63,18 +63,18 @@
     return answer
   }
 
-  /** Capacity that is out, lapsed loans whose work may still run included. */
+  /** Returns the capacity out on loan, including expired loans whose work may still be running. */
   countLent (now: number): number {
     this.expire(now)
     return [...this.loans.values()].reduce((sum, loan) => sum + loan.amount, 0)
   }
 
-  /** Whether a borrower, other than the one with the key, lately got less than it wanted. */
+  /** Whether a borrower, other than the one with the key `except`, got less than it wanted within the last term. */
   isShort (now: number, except?: string): boolean {
     return [...this.short].some(([key, shortage]) => key !== except && shortage.amount > 0 && now < shortage.until)
   }
 
-  /** What borrowers lately wanted and didn't get. */
+  /** Returns the capacity that borrowers wanted and didn't get within the last term. */
   countShort (now: number): number {
     return [...this.short.values()].reduce((sum, shortage) => sum + (now < shortage.until ? shortage.amount : 0), 0)
   }
@@ -84,20 +84,20 @@
     return [...this.loans.values()]
   }
 
-  /** Loans of a former lender, which bind this one. */
+  /** Adds a loan of a former lender, which binds this lender. */
   acceptLoan (loan: Loan): void {
     const known = this.loans.get(loan.id)
     this.loans.set(loan.id, { ...loan, busyUntil: Math.max(loan.busyUntil, known?.busyUntil ?? -Infinity) })
   }
 
-  /** Forgets loans that another lender has taken over. */
+  /** Clears all state after another lender has taken over the loans. */
   clear (): void {
     this.loans.clear()
     this.answered.clear()
     this.short.clear()
   }
 
-  /** A borrower's process is gone: nothing new can begin on its loans. */
+  /** Shortens the loans of a borrower whose process is gone: no new work can begin on them, but work already begun may run on. */
   reclaim (host: RosterHost, maxDeadlineMs: number, now: number): void {
     const busyUntil = now + computeGrantorWait(maxDeadlineMs, this.options)
     for (const loan of this.loans.values()) if (isSameHost(loan.to, host)) loan.busyUntil = Math.min(loan.busyUntil, busyUntil)
@@ -131,7 +131,7 @@
   }
 }
 
-/** Loans that together stay within an amount, larger ones first; of one borrower always the same ones, whichever it asks to renew. */
+/** Picks loans whose total stays within an amount, larger ones first. The result for a borrower doesn't depend on the loans that it asks to renew. */
 function pickUpTo (most: number, loans: readonly Loan[]): Loan[] {
   let rest = most
   return [...loans].sort((left, right) => right.amount - left.amount || (left.id < right.id ? -1 : 1)).filter((loan) => {
--- a/packages/almondrelay/src/process/limits/limitRoute.ts
+++ b/packages/almondrelay/src/process/limits/limitRoute.ts
@@ -1,8 +1,8 @@
-/** Where work comes from and where it is to run. */
+/** The region that work comes from, the region where it is to run, and its service. */
 export interface LimitRoute {
   service: string
-  /** Region whose callers ask. */
+  /** Region of the callers that send the requests. */
   fromRegion: string
-  /** Region whose targets run it. */
+  /** Region of the targets that run the requests. */
   toRegion: string
 }
--- a/packages/almondrelay/src/process/limits/limitShare.ts
+++ b/packages/almondrelay/src/process/limits/limitShare.ts
@@ -14,27 +14,30 @@
 
 interface ShareSize {
   spec: LimitSpec
-  /** Availability zones of the region that takes the work. */
+  /** Availability zones of the region that runs the work. */
   zones: readonly string[]
   maxDeadlineMs: number
 }
 
-/** Fraction by which a loan exceeds the demand that it is for, so that a rising demand finds some capacity. */
+/** Ratio of requested capacity to measured demand, so that spare capacity is available when demand rises. */
 const HEADROOM = 1.25
-/** What is left of a past peak of demand after one round of planning, four of which make a second. */
+/** Factor by which a past peak of demand decays in each planning round; there are four rounds a second. */
 const DECAY = 0.9
-/** A single request's peak falls below this after 7 rounds, so that one refused request brings a loan before it is forgotten. */
+/**
+ * Peaks below this count as no demand. The peak of a single request decays below it
+ * after 7 rounds, so that one refused request still leads to a loan.
+ */
 const NO_DEMAND = 0.5
-/** Terms of a zone's loan in one of a host's: a host's loan must be over before the zone's that it comes from. */
+/** Number of host loan terms in one zone loan term: a host's loan must end before the zone's loan from which it is lent. */
 const HOST_TERMS = 3
 
 /**
- * One limit as one host may use it. The zone's share (a floor, and loans from the lender of the region)
- * is a part that one host of the zone holds; that host uses what it hasn't lent to the zone's others,
- * and they use what they have on loan.
+ * The share of one limit that one host may use. The zone's share (a floor, and loans from the lender of the region)
+ * is a part that one host of the zone holds. That host uses the capacity that it hasn't lent to its peers in the
+ * zone; the peers use the capacity that they have on loan from it.
  *
- * The sum holds at each level: floors and pool make up the limit; the holder's own work and its loans
- * make up the zone's share, since a host's loan, drift included, ends before the zone's loan does.
+ * The limit is kept at each level: the zones' floors and the lender's pool add up to the limit, and the holder's own
+ * work and its loans stay within the zone's share, since a host's loan, drift included, ends before the zone's loan.
  */
 export class LimitShare extends PartUser {
   readonly partId: string
@@ -43,9 +46,9 @@
   declared = true
   private peak = 0
   private readonly hostTermMs: number
-  /** From the lender of the region, while this host holds the zone's share. */
+  /** Loans from the lender of the region, while this host holds the zone's share. */
   private readonly zoneLoans: LimitBorrower
-  /** From the holder of the zone's share, while another host is that. */
+  /** Loans from the holder of the zone's share, while that is another host. */
   private readonly hostLoans: LimitBorrower
   private readonly lender: LimitLender
 
@@ -63,13 +66,13 @@
     return this.size.spec
   }
 
-  /** A lowered limit holds for the next piece of work: floors shrink, and loans under the larger limit are void. */
+  /** Adopts a new size. A lowered limit applies to new work at once: floors shrink, and loans under the larger limit become void. */
   adoptSize (size: ShareSize): void {
     this.size = size
     this.claims.addPart({ id: this.partId, key: size.spec.name, rank: 0, waitMs: this.hostTermMs + size.maxDeadlineMs }, this)
   }
 
-  /** Room for more work of this host; also counts as a wish for it. */
+  /** Returns the capacity that is free for more work of this host. */
   computeFree (now: number): number {
     const capacity = this.claims.isHeld(this.partId)
       ? this.computeOwnCapacity(now)
@@ -77,12 +80,12 @@
     return Math.max(0, capacity - this.running)
   }
 
-  /** Takes note that so many more requests wanted to run, whether or not they could. */
+  /** Records that `wanted` more requests were to run, whether or not they were admitted. */
   observeDemand (wanted: number): void {
     this.peak = Math.max(this.peak, this.running + wanted)
   }
 
-  /** The next request for a loan, and the host to ask; no host stands for the lender of the region. */
+  /** Plans the next request for a loan and the host to send it to; an undefined host stands for the lender of the region. */
   planLoan (now: number): { host: string | undefined, request: LoanRequest } | undefined {
     this.peak = Math.max(this.running, this.peak * DECAY)
     const limit = this.size.spec.maxInFlight
@@ -105,7 +108,7 @@
     else this.hostLoans.accept(request, answer)
   }
 
-  /** As holder of the zone's share; undefined when this host isn't that. */
+  /** Answers a loan request as holder of the zone's share; undefined when this host doesn't hold it. */
   lend (borrower: RosterHost, request: LoanRequest, now: number): LoanAnswer | undefined {
     if (!this.claims.isUsable(this.partId)) return undefined
     return this.lender.lend(borrower, request, {
@@ -120,7 +123,7 @@
     this.lender.reclaim(host, this.size.maxDeadlineMs, now)
   }
 
-  /** The zone's loans go back, the hosts' loans go along, and this host keeps what is left of the floor as a loan of its own. */
+  /** Returns the zone's loans, hands over the loans to hosts, and keeps the unlent remainder of the floor as a loan to this host itself. */
   tryGiveUp (_part: string, now: number): PartGrant[] | undefined {
     const floor = this.computeFloor()
     const lent = this.lender.countLent(now)
@@ -140,7 +143,7 @@
     return false
   }
 
-  /** A loan to this host itself is void from here: its running work counts as the holder's own. */
+  /** Takes over the grants of former holders. Loans to this host itself become void, because its running work now counts as the holder's own. */
   acceptPart (_part: string, grants: readonly PartGrant[], now: number): void {
     this.hostLoans.returnAll()
     for (const { id, to, amount, limit, termMs, busyMs } of grants.filter((grant) => !isSameHost(grant.to, this.self))) {
@@ -153,7 +156,7 @@
     return this.running + out === 0 && !this.claims.hasObligation(this.partId, now)
   }
 
-  /** As holder of the share: what isn't lent, and no more than a fair share while other hosts lack capacity. */
+  /** As holder of the share: the capacity that isn't lent, and at most a fair share while other hosts lack capacity. */
   private computeOwnCapacity (now: number): number {
     const left = this.computeZoneCapacity(now) - this.lender.countLent(now)
     return this.lender.isShort(now) ? Math.min(left, this.computeFairShare(now)) : left
--- a/packages/almondrelay/src/process/limits/limitsOptions.ts
+++ b/packages/almondrelay/src/process/limits/limitsOptions.ts
@@ -1,4 +1,4 @@
-/** Figures of the limits; the same on every host of a fleet. */
+/** Parameters of leases, credits and loans; they must be the same on every host of a fleet. */
 export interface LimitsOptions {
   /** Term of a slot lease in milliseconds. */
   leaseTermMs: number
@@ -6,10 +6,10 @@
   creditTermMs: number
   /** Term of a loan between availability zones or hosts, in milliseconds. */
   loanTermMs: number
-  /** Greatest difference in rate between two monotonic clocks, as a fraction. */
+  /** Maximum difference in rate between two monotonic clocks, as a fraction. */
   drift: number
-  /** Allowance for the way of a request to its target and of its end, in milliseconds. */
+  /** Allowance for the transit of a request to its target and for the end of the request to take effect, in milliseconds. */
   slackMs: number
-  /** Fraction of a service's slots at its owner that credits leave for the owner's own callers. */
+  /** Fraction of the slots that an owner has for a service which it keeps from being granted as credits, for its own callers. */
   creditReserve: number
 }
--- a/packages/almondrelay/src/process/limits/listBindingGrants.ts
+++ b/packages/almondrelay/src/process/limits/listBindingGrants.ts
@@ -1,7 +1,7 @@
 import type { GivenPart } from './givenPart.js'
 import type { PartGrant } from './partGrant.js'
 
-/** The grants of a part that was given up, as far as they still bind, with what is left of their times. */
+/** Lists the grants of a handed-over part that still bind, with the remainders of their times. */
 export function listBindingGrants (given: GivenPart, now: number): PartGrant[] {
   const passed = now - given.at
   return given.grants
--- a/packages/almondrelay/src/process/limits/listLimits.ts
+++ b/packages/almondrelay/src/process/limits/listLimits.ts
@@ -3,7 +3,7 @@
 import { LimitKind } from './limitKind.js'
 import type { LimitSpec } from './limitSpec.js'
 
-/** The limits on work that runs in a region. */
+/** Lists the limits on work that runs in a region. */
 export function listLimits (configuration: Configuration, region: string): LimitSpec[] {
   const own = configuration.get(ResourceKind.region, region)
   const links = configuration.list(ResourceKind.link).filter((link) => link.spec.to === region)
--- a/packages/almondrelay/src/process/limits/loan.ts
+++ b/packages/almondrelay/src/process/limits/loan.ts
@@ -1,14 +1,14 @@
 import type { RosterHost } from './rosterHost.js'
 
-/** Capacity lent, as the lender counts it on its own clock. */
+/** Capacity on loan, as the lender accounts for it on its own clock. */
 export interface Loan {
   id: string
   to: RosterHost
   amount: number
-  /** The limit's size when it was lent. */
+  /** The limit's size when the capacity was lent. */
   limit: number
-  /** Until when new work may begin on it. */
+  /** Time until which new work may begin on the loan. */
   lapsesAt: number
-  /** Until when such work may run. */
+  /** Time until which such work may run. */
   busyUntil: number
 }
--- a/packages/almondrelay/src/process/limits/loanAnswer.ts
+++ b/packages/almondrelay/src/process/limits/loanAnswer.ts
@@ -5,9 +5,9 @@
   limit: number
 }
 
-/** A lender's answer. */
+/** A lender's answer to a LoanRequest. */
 export interface LoanAnswer {
   termMs: number
-  /** New loans and those prolonged. */
+  /** New and renewed loans. */
   loans: LoanTerms[]
 }
--- a/packages/almondrelay/src/process/limits/loanRequest.ts
+++ b/packages/almondrelay/src/process/limits/loanRequest.ts
@@ -1,14 +1,14 @@
-/** What a borrower asks of the lender of one limit. */
+/** A borrower's request to the lender of one limit. */
 export interface LoanRequest {
   limit: string
-  /** Counts the requests of one borrower for one limit; a repeat has the number of the first. */
+  /** Number of the request among those of one borrower for one limit; a repetition has the number of the first sending. */
   sequence: number
   /** Monotonic time of sending on the borrower's clock, from which terms count. */
   sentAt: number
   /** New capacity wanted. */
   wanted: number
-  /** Loans to be prolonged. */
+  /** Ids of the loans to renew. */
   renewed: string[]
-  /** Loans that the borrower uses no more. */
+  /** Ids of the loans that the borrower no longer uses. */
   returned: string[]
 }
--- a/packages/almondrelay/src/process/limits/part.ts
+++ b/packages/almondrelay/src/process/limits/part.ts
@@ -1,10 +1,10 @@
-/** Something that at most one host of an availability zone may hold at a time. */
+/** A unit of capacity (a target's floor or rest, or the zone's share of a limit) that at most one host of an availability zone may hold at a time. */
 export interface Part {
   id: string
-  /** What hosts are ranked by. */
+  /** Key by which hosts are ranked for the part. */
   key: string
-  /** Place in that ranking of the host that is to hold it, from 0; the last host where there are fewer. */
+  /** Rank, from 0, of the host that is to hold the part; the last host where there are fewer. */
   rank: number
-  /** Longest time in milliseconds for which a lost holder's work or grants may go on after its loss. */
+  /** Maximum time in milliseconds for which a lost holder's work or grants may continue after its loss. */
   waitMs: number
 }
--- a/packages/almondrelay/src/process/limits/partClaims.ts
+++ b/packages/almondrelay/src/process/limits/partClaims.ts
@@ -15,7 +15,10 @@
 import { tryPassPart } from './tryPassPart.js'
 import { ZoneView } from './zoneView.js'
 
-/** Evidence kept for hosts that the roster may still name; what is dropped here is learnt again from its next report. */
+/**
+ * Maximum number of processes known to be gone that are remembered, since the roster may still
+ * name them; a dropped one is learnt again from the next report of it.
+ */
 const MAX_KNOWN_GONE = 256
 
 interface PlannedClaim {
@@ -24,29 +27,32 @@
 }
 
 /**
- * Which parts (a target's floor, a target's rest, a zone's share of a limit) this host holds, so that
- * no two hosts of a zone ever hold the same one, while rosters change, messages are lost, late or
- * repeated and hosts die. Without it a host that has not yet heard of a join goes on filling a target
- * which the joining host fills too.
+ * Tracks which parts (a target's floor, a target's rest, a zone's share of a limit) this host holds, so that
+ * no two hosts of a zone ever hold the same part, although rosters change, messages are lost, late or
+ * repeated and hosts crash. Otherwise a host that has not yet received a roster with a new host would go on
+ * sending to a target to which the new host sends too.
  *
- * The rule: a host takes a part only when its view of the zone ranks it for the part and every other
- * live member has said, at exactly that view, that it doesn't hold it. Why it holds: a view only grows.
- * Say that two hosts held one part, taken at views V and W. With V = W the ranking names one host. Else
- * each answered the other at the other's view, so one of them, say the first, answered at W after it
- * was at V; it had taken the part by then and said so, or it hadn't and its answers for V were void from
- * there. A late or repeated answer carries its view, and is dropped where that has passed. A host that
- * neither answers nor is gone by evidence blocks the taking: its former holder, if alive, goes on using
- * the part, so nothing is lost by the wait.
+ * Rule: a host takes a part only when its view of the zone ranks it as holder and every other live member
+ * has answered, at exactly that view, that it doesn't hold the part. This is safe because a host's view only advances.
+ * Suppose that two hosts hold one part, taken at views V and W. If V = W, the ranking names only one host. Otherwise
+ * each answered the other at the other's view, so one of them, say the first, answered at W after it had been at V.
+ * Either it had taken the part by then and its answer said so, or it had not, and the answers that it had for V became
+ * void with the change of view. A late or repeated answer carries its view and is dropped once that view is superseded.
+ * A host that neither answers nor is known to be gone blocks the claim. Meanwhile the former holder, if alive, goes on
+ * using the part, so the wait loses no capacity.
  *
- * A part that nobody holds was lost with its holder. Its work and its grants may go on for `waitMs`
- * after the loss, counted from when this host learnt of it, which is never before the loss.
+ * A part that no host holds was lost with its holder. The lost holder's work and grants may continue for `waitMs`
+ * after the loss. The wait counts from when this host learnt of the loss, which is never before the loss.
  */
 export class PartClaims {
   private view: ZoneView | undefined
   private readonly parts = new Map<string, PartState>()
-  /** Processes known to be gone, also those that the roster doesn't name yet. */
+  /** Processes known to be gone, including those that the roster doesn't name yet. */
   private known: RosterHost[] = []
-  /** Parts that fall to this host and that it doesn't hold; rebuilt when that may have changed, so that a request costs nothing here. */
+  /**
+   * Parts for which this host ranks as holder and that it doesn't hold; cached until
+   * that may change, so that requests don't pay for the computation.
+   */
   private wanted: PartState[] | undefined
   private lostAt = -Infinity
   private newestVersion = 0
@@ -54,7 +60,7 @@
 
   constructor (private readonly self: RosterHost, private readonly options: LimitsOptions) {}
 
-  /** Changes whenever this host takes or gives up a part. */
+  /** Changes whenever this host takes or hands over a part, or its view changes. */
   get epoch (): number {
     return this.changes
   }
@@ -74,7 +80,7 @@
     return this.view?.gone ?? []
   }
 
-  /** Whether the roster that this host has names this very process. */
+  /** Whether this host's roster names this process, in this incarnation, and it isn't known to be gone. */
   get isMember (): boolean {
     return this.view?.has(this.self) ?? false
   }
@@ -83,7 +89,7 @@
     return this.view?.roster.version ?? 0
   }
 
-  /** Begins to claim the part where it falls to this host; a known part's figures are replaced. */
+  /** Registers a part, which this host then claims where it ranks as holder; a part with a known id is replaced and keeps its state. */
   addPart (part: Part, user: PartUser): PartStatus {
     const state = this.parts.get(part.id) ?? { part, user, held: false, usable: false, cleared: new Set(), handOvers: [], lostAt: this.lostAt, given: undefined }
     state.part = part
@@ -97,7 +103,7 @@
     this.wanted = undefined
   }
 
-  /** An older roster, or the same one again, changes nothing. */
+  /** Adopts a newer roster; an older roster, or the same one again, is ignored. */
   adoptRoster (roster: Roster, now: number): void {
     const former = this.view
     if (former !== undefined && roster.version <= former.roster.version) return
@@ -108,7 +114,7 @@
     this.setView(next)
   }
 
-  /** Takes note that a process is gone, on definitive evidence only: silence is none. */
+  /** Records that a process is gone, on definitive evidence only; missing reports are no such evidence. */
   markGone (host: RosterHost, now: number): void {
     if (isSameHost(host, this.self)) return
     if (!this.known.some((each) => isSameHost(each, host))) this.known = [...this.known, host].slice(-MAX_KNOWN_GONE)
@@ -127,13 +133,13 @@
     return this.parts.get(id)?.held ?? false
   }
 
-  /** Whether a grant from a part that this host gave up may still bind; the next holder has to be told of it. */
+  /** Whether a grant from a part that this host handed over may still bind; the next holder must be informed of such a grant. */
   hasObligation (id: string, now: number): boolean {
     const given = this.parts.get(id)?.given
     return given !== undefined && listBindingGrants(given, now).length > 0
   }
 
-  /** The live member that is to hold the part, as far as this host knows. */
+  /** Returns the live member that is to hold the part according to this host's view. */
   getHolder (id: string): RosterHost | undefined {
     const state = this.parts.get(id)
     if (state === undefined || this.view === undefined) return undefined
@@ -147,7 +153,10 @@
     }
   }
 
-  /** The questions to ask other members; one message for each that has some left to answer. */
+  /**
+   * Plans the claims to send to peers that have not yet cleared all wanted parts: for each peer, one
+   * message for the parts that are ready to be handed over and one for the others.
+   */
   planClaims (now: number): PlannedClaim[] {
     this.advance(now)
     const view = this.view
@@ -166,7 +175,7 @@
     })
   }
 
-  /** Answers another member's claim, giving up what falls to it once no work of this host needs it. */
+  /** Answers a peer's claim. If the claim is ready, hands over each part for which the peer ranks as holder and which no work of this host needs. */
   handleClaim (sender: RosterHost, claim: PartClaim, now: number): PartClaimAnswer {
     this.newestVersion = Math.max(this.newestVersion, claim.rosterVersion)
     if (this.rosterVersion === claim.rosterVersion) claim.gone.forEach((host) => this.markGone(host, now))
@@ -183,8 +192,9 @@
   }
 
   /**
-   * Guards, besides the view, against an answer by a restarted host for its former incarnation, which
-   * knows nothing of the work that the former one began: the answerer must be the very process that the view names.
+   * Applies a peer's answer. Besides the view, the incarnation of the answering process must be the one that the view
+   * names: a restarted host must not answer for its former incarnation, because it doesn't know the work that the
+   * former one began.
    */
   acceptAnswer (claim: PartClaim, answer: PartClaimAnswer, now: number): void {
     this.newestVersion = Math.max(this.newestVersion, answer.rosterVersion)
@@ -242,7 +252,7 @@
     this.changes += 1
   }
 
-  /** `undefined` stands for hosts that this one never heard of. */
+  /** Records the loss of hosts; `undefined` stands for hosts that were never in a roster of this host. */
   private markLost (hosts: readonly RosterHost[] | undefined, now: number): void {
     if (hosts !== undefined && hosts.length === 0) return
     this.lostAt = now
--- a/packages/almondrelay/src/process/limits/partHandOver.ts
+++ b/packages/almondrelay/src/process/limits/partHandOver.ts
@@ -1,10 +1,10 @@
 import type { PartGrant } from './partGrant.js'
 
-/** What a former holder says of a part that it has given up. */
+/** A former holder's description of a part that it has handed over. */
 export interface PartHandOver {
   part: string
-  /** Grants that the former holder made from it and that still bind. */
+  /** Grants from the part by the former holder that still bind. */
   grants: PartGrant[]
-  /** Given up to the asker since both took up their present view, so that nothing else can run on it. */
+  /** Whether the part was handed over to the claimant since both adopted their current view, so that no other work can run on it. */
   toAsker: boolean
 }
--- a/packages/almondrelay/src/process/limits/partState.ts
+++ b/packages/almondrelay/src/process/limits/partState.ts
@@ -3,18 +3,18 @@
 import type { PartHandOver } from './partHandOver.js'
 import type { PartUser } from './partUser.js'
 
-/** What a host knows of one part. */
+/** A host's state of one part. */
 export interface PartState {
   part: Part
   user: PartUser
   held: boolean
-  /** False, too, from when a ready claim came for it. */
+  /** Whether new work may use the part; also false once a ready claim for it was received. */
   usable: boolean
-  /** Members that said, at the present view, that they don't hold it. */
+  /** Names of the members that have answered, at the current view, that they don't hold the part. */
   cleared: Set<string>
   handOvers: PartHandOver[]
-  /** When the last host that may have held it was lost. */
+  /** Time of the last loss of a host that may have held the part. */
   lostAt: number
-  /** Set while this host was the last to give it up, as far as it knows. */
+  /** Set while this host is the last known one to have handed the part over. */
   given: GivenPart | undefined
 }
--- a/packages/almondrelay/src/process/limits/partStatus.ts
+++ b/packages/almondrelay/src/process/limits/partStatus.ts
@@ -1,4 +1,4 @@
-/** Whether this host holds a part just now; kept up to date by PartClaims. */
+/** Whether this host currently holds a part; updated by PartClaims. */
 export interface PartStatus {
   readonly held: boolean
   /** Held, and usable for new work. */
--- a/packages/almondrelay/src/process/limits/rankHosts.ts
+++ b/packages/almondrelay/src/process/limits/rankHosts.ts
@@ -3,7 +3,7 @@
 const FNV_OFFSET = 0x811c9dc5
 const FNV_PRIME = 0x01000193
 
-/** FNV-1a over the UTF-16 units, with the finalizer of MurmurHash3 so that like keys spread. */
+/** Computes FNV-1a over the UTF-16 code units, with the finalizer of MurmurHash3 so that similar keys get well-distributed hashes. */
 function computeHash (text: string): number {
   let hash = FNV_OFFSET
   for (let index = 0; index < text.length; index += 1) hash = Math.imul(hash ^ text.charCodeAt(index), FNV_PRIME)
@@ -13,8 +13,8 @@
 }
 
 /**
- * Hosts by rendezvous (highest random weight) hashing of a key, best first. A join or loss moves
- * only the keys that the joining or lost host ranks first or second for. Equal hashes fall back to the name.
+ * Ranks hosts by rendezvous (highest random weight) hashing of a key, highest weight first. A join or loss moves
+ * only the keys for which the joining or lost host ranks first or second. Hosts with equal weights are ordered by name.
  */
 export function rankHosts (key: string, hosts: readonly RosterHost[]): RosterHost[] {
   return hosts
--- a/packages/almondrelay/src/process/limits/regionLender.ts
+++ b/packages/almondrelay/src/process/limits/regionLender.ts
@@ -9,9 +9,9 @@
 
 /**
  * Lends the half of each limit of a region that isn't any zone's floor, while this host holds the
- * platform's key `lenders/<region>` under a platform lease. A new lender knows nothing of its
- * predecessor's loans: it lends nothing until the longest term and the longest deadline are over.
- * A paused lender that wakes finds its authority, counted from the sending of its last renewal, over.
+ * platform's key `lenders/<region>` under a platform lease. A new lender doesn't know its predecessor's
+ * loans, so it lends nothing until the longest term and the longest deadline have passed.
+ * The authority to lend counts from the sending of the last renewal, so it has expired when a lender resumes after a long pause.
  */
 export class RegionLender {
   private readonly options: LimitsOptions
@@ -26,7 +26,7 @@
     this.options = { ...defaultLimitsOptions, ...options }
   }
 
-  /** The limits of the region, from `listLimits`, and the number of its availability zones. */
+  /** Adopts the limits of the region, from `listLimits`, and the number of its availability zones. */
   adoptLimits (limits: readonly LimitSpec[], zones: number, maxDeadlineMs: number): void {
     this.zones = Math.max(1, zones)
     this.limits = new Map(limits.map((limit) => [limit.name, limit]))
@@ -34,8 +34,8 @@
   }
 
   /**
-   * The platform lease was taken or renewed: `sentAt` is when the call for it left, `termMs` what was
-   * asked for. `isFirst` says that no host has ever lent for the region.
+   * Applies a platform lease that was taken or renewed: `sentAt` is when the platform call was sent, `termMs` the
+   * requested term. `isFirst` means that no host has ever lent for the region.
    */
   acceptAuthority (sentAt: number, termMs: number, isFirst: boolean, now: number): void {
     if (now >= this.authorityUntil) {
@@ -45,12 +45,12 @@
     this.authorityUntil = Math.max(this.authorityUntil, sentAt + termMs)
   }
 
-  /** The platform says that the lease is over. */
+  /** Ends the authority when the platform answers that the lease has ended. */
   dropAuthority (): void {
     this.authorityUntil = -Infinity
   }
 
-  /** Undefined when this host may not lend now. */
+  /** Answers a loan request; undefined when this host may not lend now. */
   lend (borrower: RosterHost, request: LoanRequest, now: number): LoanAnswer | undefined {
     const spec = this.limits.get(request.limit)
     if (spec === undefined || now >= this.authorityUntil || now < this.startsAt) return undefined
@@ -60,7 +60,7 @@
     return lender.lend(borrower, request, { limit: spec.maxInFlight, computePool: () => pool, maxDeadlineMs: this.maxDeadlineMs, fairShare: Math.ceil(pool / this.zones) }, now)
   }
 
-  /** A borrower's process is gone, on definitive evidence. */
+  /** Records definitive evidence that a borrower's process is gone. */
   markGone (host: RosterHost, now: number): void {
     for (const lender of this.lenders.values()) lender.reclaim(host, this.maxDeadlineMs, now)
   }
--- a/packages/almondrelay/src/process/limits/regionLimits.ts
+++ b/packages/almondrelay/src/process/limits/regionLimits.ts
@@ -24,16 +24,16 @@
 }
 
 /**
- * The limits on work that this host's region takes: its own capacity over all services, the links
- * into it and the shift caps on it. The host that starts the work, or that grants a credit for it to
- * another region's sender, checks them. `now` is this host's monotonic clock in milliseconds.
+ * The limits on work that runs in this host's region: the region's own capacity over all services, the links
+ * into the region and the shift caps on work from other regions. They are checked by the host that starts the work,
+ * or that grants a credit for it to a sender in another region. `now` is this host's monotonic clock in milliseconds.
  */
 export class RegionLimits {
   private readonly self: RosterHost
   private readonly options: LimitsOptions
   private readonly shares = new Map<string, LimitShare>()
   private readonly holders = new Map<string, LimitShare[]>()
-  /** Credits that hold room, in order of expiry. */
+  /** Expiry times of the credits that hold capacity, by credit id, in order of expiry. */
   private readonly credits = new Map<string, number>()
 
   constructor (private readonly identity: RegionLimitsIdentity, private readonly claims: PartClaims, options: Partial<LimitsOptions> = {}) {
@@ -41,7 +41,7 @@
     this.options = { ...defaultLimitsOptions, ...options }
   }
 
-  /** A region that the configuration doesn't declare has no limits. `maxDeadlineMs` is the one of HostSlots. */
+  /** Adopts the limits of the configuration; a region that it doesn't declare has none. `maxDeadlineMs` is the same as for HostSlots. */
   adoptConfiguration (configuration: Configuration, maxDeadlineMs: number, now: number): void {
     const zones = configuration.get(ResourceKind.region, this.identity.region)?.spec.availabilityZones ?? [this.identity.availabilityZone]
     for (const share of this.shares.values()) share.declared = false
@@ -50,7 +50,7 @@
     this.claims.advance(now)
   }
 
-  /** Takes room in every limit on the route for a request that ends by `runsUntil`, which HostSlots has checked; in all of them or in none. */
+  /** Takes capacity in every limit on the route, or in none, for a request that ends by `runsUntil`, which HostSlots has checked. */
   acquire (route: LimitRoute, holder: string, runsUntil: number, now: number): LimitDecision {
     this.expire(now)
     this.claims.advance(now)
@@ -64,19 +64,19 @@
     return { allowed: true }
   }
 
-  /** Takes note of requests that wait for room, so that it is borrowed for them; without it a full share never grows. */
+  /** Records requests that wait for capacity, so that capacity is borrowed for them; otherwise a full share would never grow. */
   observeDemand (route: LimitRoute, wanted: number): void {
     this.listShares(route).forEach((share) => share.observeDemand(wanted))
   }
 
-  /** The same for a credit, whose room comes back when it expires unused. */
+  /** Takes capacity for a credit, as `acquire` does for a request; it is released when the credit expires unused. */
   acquireForCredit (route: LimitRoute, creditId: string, expiresAt: number, now: number): LimitDecision {
     const decision = this.acquire(route, creditId, expiresAt, now)
     if (decision.allowed) this.credits.set(creditId, expiresAt)
     return decision
   }
 
-  /** The credit's room passes to a request; false when the credit held none any more. */
+  /** Transfers the credit's capacity to a request; false when the credit no longer holds any. */
   useCredit (creditId: string, holder: string, now: number): boolean {
     this.expire(now)
     const shares = this.holders.get(creditId)
@@ -86,7 +86,7 @@
     return true
   }
 
-  /** The answer or refusal is known, or the credit was returned. */
+  /** Releases the capacity once the request's answer or refusal is known, or the credit was returned. */
   release (holder: string, now: number): void {
     this.expire(now)
     this.credits.delete(holder)
@@ -94,18 +94,18 @@
     this.holders.delete(holder)
   }
 
-  /** Requests that may still start on the route, as far as limits go; Infinity where none is declared. */
+  /** Counts the requests that the limits still admit on the route; Infinity where no limit is declared. */
   countFree (route: LimitRoute, now: number): number {
     this.expire(now)
     return Math.min(...this.listShares(route).map((share) => share.computeFree(now)))
   }
 
-  /** Work of this host that a limit counts. */
+  /** Counts this host's running requests under a limit. */
   countRunning (limit: string): number {
     return this.shares.get(limit)?.running ?? 0
   }
 
-  /** Requests to send now: terms count from `now`. Call it four times a second. */
+  /** Plans the loan requests to send now; terms count from `now`. To be called four times a second. */
   planLoans (now: number): PlannedLoan[] {
     this.expire(now)
     return [...this.shares.values()].filter((share) => share.declared).flatMap((share) => share.planLoan(now) ?? [])
@@ -115,12 +115,12 @@
     this.shares.get(planned.request.limit)?.acceptLoan(planned.host, planned.request, answer)
   }
 
-  /** A host of the own zone asks; undefined when this host doesn't hold the zone's share. */
+  /** Answers a loan request of a host of the own zone; undefined when this host doesn't hold the zone's share. */
   lend (borrower: RosterHost, request: LoanRequest, now: number): LoanAnswer | undefined {
     return this.shares.get(request.limit)?.lend(borrower, request, now)
   }
 
-  /** Definitive evidence that a process is gone; HostSlots passes it to the claims. */
+  /** Records definitive evidence that a process is gone; HostSlots passes the evidence on to the claims. */
   markGone (host: string, incarnation: number, now: number): void {
     for (const share of this.shares.values()) share.reclaim({ name: host, incarnation }, now)
   }
--- a/packages/almondrelay/src/process/limits/rosterHost.ts
+++ b/packages/almondrelay/src/process/limits/rosterHost.ts
@@ -1,6 +1,6 @@
 /** One process of an entry host. */
 export interface RosterHost {
   name: string
-  /** Milliseconds since the Unix epoch at which the process began. */
+  /** Start time of the process in milliseconds since the Unix epoch. */
   incarnation: number
 }
--- a/packages/almondrelay/src/process/limits/slotGrant.ts
+++ b/packages/almondrelay/src/process/limits/slotGrant.ts
@@ -1,8 +1,8 @@
 import type { RosterHost } from './rosterHost.js'
 
-/** What the holder of a target's rest has granted, on its own clock. */
+/** A grant of a target's rest by its holder, timed on the holder's own clock. */
 export interface SlotGrant {
   to: RosterHost
-  /** Until when work begun on the grant may run: the term, and then the longest deadline. */
+  /** Time until which work begun on the grant may run: the end of the term plus the longest deadline. */
   busyUntil: number
 }
--- a/packages/almondrelay/src/process/limits/slotLease.ts
+++ b/packages/almondrelay/src/process/limits/slotLease.ts
@@ -1,10 +1,10 @@
-/** The use of a target's slots above the owner's floor for a short term. */
+/** A short-term right to use a target's slots above the owner's floor. */
 export interface SlotLease {
   service: string
   target: string
-  /** Length of the term in milliseconds; the holder counts it from the sending of its request. */
+  /** Length of the term in milliseconds; the lessee counts it from the sending of its request. */
   termMs: number
-  /** Longest time for which work begun on the lease may run on after its end, in milliseconds. */
+  /** Maximum time in milliseconds for which work begun on the lease may run after the lease ends. */
   longestDeadlineMs: number
   rosterVersion: number
 }
--- a/packages/almondrelay/src/process/limits/targetSlots.ts
+++ b/packages/almondrelay/src/process/limits/targetSlots.ts
@@ -14,28 +14,28 @@
   maxDeadlineMs: number
 }
 
-/** Part of a term that may pass before a lease is renewed: two renewals may be lost before it lapses. */
+/** Fraction of a term after which a lease is renewed: two renewals can be lost before the lease expires. */
 const RENEW_AFTER = 1 / 3
-/** Silence of the owner, in terms, after which its standby uses the rest itself. */
+/** Number of lease terms without a request from the owner after which the standby uses the rest itself. */
 const PATIENCE_TERMS = 2
 
 /**
- * The slots of one target as one host may use them: a floor (half, rounded up) that needs nobody while
- * the host holds it, and a rest that its holder, the standby, either grants to the owner for a short
- * term or, once the owner has long been silent, uses itself.
+ * The slots of one target that one host may use: a floor (half of the slots, rounded up), which the owner uses
+ * without a lease, and a rest, which its holder, the standby, either leases to the owner for a short
+ * term or, after a long time without a request from the owner, uses itself.
  *
- * Guards against an owner that freezes or is cut off and goes on as before when it wakes, while its
- * standby has filled in for it: the target would get up to one and a half times its slots. The term
- * counts on the owner's clock from the sending of its request, so a late, repeated or delayed grant
- * never lengthens it; the standby counts from its answer, with the drift margin, and then waits for
- * the longest deadline, so the owner's last work on the lease has ended before the first of the standby.
+ * This guards against an owner that freezes or is cut off and later continues as before, while its standby
+ * uses the rest: the target would get up to one and a half times its slots. The owner counts the term on its
+ * clock from the sending of its request, so a late, repeated or delayed grant never extends the term.
+ * The standby counts from its answer, with the drift margin, and then waits for the longest deadline, so
+ * the owner's last work on the lease has ended before the standby's first work begins.
  */
 export class TargetSlots extends PartUser {
   readonly floorId: string
   readonly restId: string
-  /** Requests that run, or may run, on the target for this host; until their answer or refusal is known. */
+  /** Number of this host's requests that run, or may run, on the target; each counts until its answer or refusal is known. */
   running = 0
-  /** Credits granted and neither used nor lapsed. */
+  /** Number of credits that are granted and neither used, returned nor expired. */
   credits = 0
   /** False once the configuration no longer names the target. */
   configured = true
@@ -57,7 +57,7 @@
     return this.size.maxDeadlineMs
   }
 
-  /** A lowered number of slots holds for the next piece of work. */
+  /** Adopts a new size; a lowered number of slots applies to new work only. */
   adoptSize (size: TargetSize): void {
     this.size = size
     const key = `${this.service}/${this.target}`
@@ -65,7 +65,7 @@
     this.rest = this.claims.addPart({ id: this.restId, key, rank: 1, waitMs: this.options.leaseTermMs + size.maxDeadlineMs }, this)
   }
 
-  /** Requests that this host may have on the target at once. */
+  /** Returns the number of requests that this host may run on the target concurrently. */
   computeCapacity (now: number): number {
     return this.computeFloor() + this.computeRest(now)
   }
@@ -83,7 +83,7 @@
     return this.floor.held || this.rest.held
   }
 
-  /** Whether the owner's lease is worth renewing now. */
+  /** Whether this host, as owner, should request or renew its lease now. */
   isRenewalDue (now: number): boolean {
     if (!this.configured || !this.isOwner() || this.rest.held) return false
     return now >= this.leaseUntil - this.options.leaseTermMs * (1 - RENEW_AFTER)
@@ -93,12 +93,12 @@
     return { service: this.service, target: this.target, termMs: this.options.leaseTermMs, longestDeadlineMs: this.size.maxDeadlineMs, rosterVersion }
   }
 
-  /** As owner: a lease asked for at `sentAt` was granted. */
+  /** As owner: applies the grant of a lease that was requested at `sentAt`. */
   acceptLease (lease: SlotLease, sentAt: number): void {
     this.leaseUntil = Math.max(this.leaseUntil, sentAt + lease.termMs)
   }
 
-  /** As holder of the rest: grants it to the owner, or refuses while this host's own work is on it. */
+  /** As holder of the rest: grants it to the owner, or refuses while this host's own work uses it. */
   grantLease (sender: RosterHost, lease: SlotLease, now: number): SlotLease | undefined {
     const holder = this.claims.getHolder(this.floorId)
     if (holder === undefined || !isSameHost(holder, sender)) return undefined
@@ -112,13 +112,13 @@
     return { ...lease, termMs, longestDeadlineMs }
   }
 
-  /** The process that a grant went to is gone: nothing new can be begun on it. */
+  /** Shortens the grant of a process that is gone: no new work can begin on it, but work already begun may run on. */
   reclaimGrant (host: RosterHost, now: number): void {
     if (this.grant === undefined || !isSameHost(this.grant.to, host)) return
     this.grant.busyUntil = Math.min(this.grant.busyUntil, now + computeGrantorWait(this.size.maxDeadlineMs, this.options))
   }
 
-  /** The grant that goes along when the part is given up; undefined while this host's work needs it. */
+  /** Returns the grant to hand over together with the part; undefined while this host's work needs the part. */
   tryGiveUp (part: string, now: number): PartGrant[] | undefined {
     if (this.running + this.credits > this.computeCapacity(now)) return undefined
     if (part === this.floorId || this.grant === undefined) return []
@@ -136,7 +136,7 @@
     this.grant = grants.reduce<SlotGrant | undefined>((merged, grant) => mergeGrants(merged, this.toGrant(grant, now)), undefined)
   }
 
-  /** Whether forgetting the target forgets nothing that still binds. */
+  /** Whether the target can be removed: nothing runs on it, and no credit, lease, grant or obligation still binds. */
   isIdle (now: number): boolean {
     const bound = this.running > 0 || this.credits > 0 || now < this.leaseUntil + this.size.maxDeadlineMs || now < (this.grant?.busyUntil ?? -Infinity)
     return !bound && !this.claims.hasObligation(this.restId, now)
@@ -165,7 +165,7 @@
   }
 }
 
-/** Two grants to different hosts bind nobody to renew: neither may be taken for the other's. */
+/** Merges two grants. Grants to different hosts merge into one that no host can renew, so that neither host's grant is taken for the other's. */
 function mergeGrants (left: SlotGrant | undefined, right: SlotGrant): SlotGrant {
   if (left === undefined) return right
   const busyUntil = Math.max(left.busyUntil, right.busyUntil)
--- a/packages/almondrelay/src/process/limits/tryPassPart.ts
+++ b/packages/almondrelay/src/process/limits/tryPassPart.ts
@@ -1,7 +1,7 @@
 import type { PartState } from './partState.js'
 import type { RosterHost } from './rosterHost.js'
 
-/** Gives a held part up to the host that is to hold it; false while work of this host still needs it. New work doesn't use it from then on. */
+/** Hands a held part over to its next holder; false while work of this host still needs the part. In both cases new work no longer uses the part. */
 export function tryPassPart (state: PartState, to: RosterHost, viewKey: string, now: number): boolean {
   state.usable = false
   const grants = state.user.tryGiveUp(state.part.id, now)
--- a/packages/almondrelay/src/process/limits/zoneView.ts
+++ b/packages/almondrelay/src/process/limits/zoneView.ts
@@ -4,8 +4,8 @@
 import type { RosterHost } from './rosterHost.js'
 
 /**
- * What a host knows of who is in its zone: a roster and the members that are gone by definitive evidence.
- * It only grows: a later roster, or one more gone. Two hosts with equal views agree on who holds what.
+ * A host's view of the membership of its zone: a roster and the members that are gone by definitive evidence.
+ * A view is only replaced by one with a later roster or with more members gone. Two hosts with equal views agree on the holder of each part.
  */
 export class ZoneView {
   readonly key: string
@@ -20,12 +20,12 @@
     this.key = `${roster.version}|${names.join(',')}`
   }
 
-  /** Whether the very process is a live member. */
+  /** Whether the process, in this incarnation, is a live member. */
   has (host: RosterHost): boolean {
     return this.live.some((each) => isSameHost(each, host))
   }
 
-  /** The live member at a place in the ranking of a key. */
+  /** Returns the live member with the given rank for a key; the last one where there are fewer. */
   getHolder (key: string, rank: number): RosterHost | undefined {
     let hosts = this.ranked.get(key)
     if (hosts === undefined) {
@@ -35,7 +35,7 @@
     return hosts[Math.min(rank, hosts.length - 1)]
   }
 
-  /** This view with more members gone; itself where nothing is new. */
+  /** Returns this view with more members gone; the same object where nothing changes. */
   withGone (gone: readonly RosterHost[]): ZoneView {
     const news = gone.filter((host) => this.has(host))
     return news.length === 0 ? this : new ZoneView(this.roster, [...this.gone, ...news])
