--- a/eslint.config.js
+++ b/eslint.config.js
@@ -14,9 +14,9 @@
 ]
 
 const AMBIENT_TIME_AND_CHANCE = [
-  { object: 'Date', property: 'now', message: 'the present time is an argument of what decides' },
-  { object: 'performance', property: 'now', message: 'the present time is an argument of what decides' },
-  { object: 'Math', property: 'random', message: 'chance is an argument of what decides' }
+  { object: 'Date', property: 'now', message: 'a decision module must not read the clock: pass the current time as an argument' },
+  { object: 'performance', property: 'now', message: 'a decision module must not read the clock: pass the current time as an argument' },
+  { object: 'Math', property: 'random', message: 'a decision module must not draw random numbers itself: pass the random source as an argument' }
 ]
 
 const IO_MODULES = ['node:*', 'http-parser-js', 'prom-client', 'undici', 'hono', 'hono/*', '@hono/*', '@connectrpc/*', 'bunyan', 'hot-shots', '**/connection/**', '**/platform/**']
@@ -34,7 +34,7 @@
       // The compiler checks redeclaration; a constant object and its type share a name on purpose.
       '@typescript-eslint/no-redeclare': 'off',
       'no-redeclare': 'off',
-      // A promise that is left alone on purpose says so.
+      // `void` marks a promise that is deliberately not awaited.
       'no-void': ['error', { allowAsStatement: true }],
       '@typescript-eslint/no-floating-promises': 'error',
       '@typescript-eslint/no-misused-promises': ['error', { checksVoidReturn: false }],
@@ -46,14 +46,14 @@
   },
   {
     files: ['packages/*/src/**/*.ts'],
-    rules: { 'no-restricted-imports': ['error', { patterns: [{ group: ['almondrelay-platform'], message: 'the product does not know the platform: the adapter is passed in' }] }] }
+    rules: { 'no-restricted-imports': ['error', { patterns: [{ group: ['almondrelay-platform'], message: 'packages must not import the platform: its adapter is passed in' }] }] }
   },
   { files: ['packages/*/src/**/index.ts', 'packages/*/src/testing.ts', 'platform/src/index.ts'], rules: { 'almondrelay/one-export': 'off' } },
   {
     files: DECISION_FILES,
     ignores: ['**/__tests__/**', '**/__fixtures__/**'],
     rules: {
-      'no-restricted-imports': ['error', { patterns: [{ group: [...IO_MODULES, 'almondrelay-platform'], message: 'a decision module does no I/O' }] }],
+      'no-restricted-imports': ['error', { patterns: [{ group: [...IO_MODULES, 'almondrelay-platform'], message: 'a decision module must not do I/O' }] }],
       'no-restricted-properties': ['error', ...AMBIENT_TIME_AND_CHANCE],
       'no-restricted-globals': ['error', 'setTimeout', 'setInterval', 'fetch', 'process']
     }
--- a/packages/almondrelay-cli/src/__fixtures__/fakeOperator.ts
+++ b/packages/almondrelay-cli/src/__fixtures__/fakeOperator.ts
@@ -11,28 +11,28 @@
   status?: Record<string, unknown>
 }
 
-/** An operator port that keeps resources in memory, with switches for what can go wrong. */
+/** Stand-in for the operator API of a host. Keeps resources in memory and can be set to simulate failures. */
 export class FakeOperator {
   revision = 0
   readonly resources = new Map<string, Stored>()
   readonly writes = new Map<string, number>()
-  /** Order of the writes that were stored. */
+  /** Keys of the stored writes, in the order in which they were stored. */
   readonly stored: string[] = []
-  /** Takes the next write and closes the connection without an answer. */
+  /** Stores the next write, but closes the connection without an answer. */
   loseNextAnswer = false
-  /** Lets a colleague write first: the next write is refused as a conflict. */
+  /** Stores another operator's write before the next one, which is then refused as a conflict. */
   raceNextWrite = false
-  /** Answers every write with `unknown`, and knows nothing of it afterwards. */
+  /** Answers every write with `unknown`, and stores nothing. */
   platformDown = false
-  /** Closes the next write's connection before it takes it. */
+  /** Closes the connection of the next write without storing the write. */
   loseNextWrite = false
   isReady = true
-  /** Problems with which the next write is rejected. */
+  /** Problems for which the next write is rejected. */
   problems: Array<{ path: string, found: string, remedy: string }> = []
-  /** Revision that the second availability zone has in force; the newest where undefined. */
+  /** Revision in force in the second availability zone; the newest one if undefined. */
   laggingRevision: number | undefined
   unreachable: string[] = []
-  /** Requests under which targets ended. */
+  /** Requests that were running when targets exited. */
   suspects: Array<{ fingerprint: string, organisation: string, ends: number, isQuarantined: boolean, trials: number, nextTrialMs?: number }> = []
   pages: unknown = { pages: [] }
   address = ''
--- a/packages/almondrelay-cli/src/__fixtures__/recordBurst.ts
+++ b/packages/almondrelay-cli/src/__fixtures__/recordBurst.ts
@@ -4,7 +4,7 @@
 const ZONE = { region: 'akl', availabilityZone: 'akl-a', freeSlots: 3, slots: 6, ageMs: 0, draining: false, reachable: true, latencyMs: 1 }
 const PLACEMENT: PlacementInput = { service: 'balances', ownZone: 'akl-a', ownRegion: 'akl', callerRegion: 'akl', weights: { akl: 3, wlg: 1 }, spill: true, zones: [ZONE, { ...ZONE, region: 'wlg', availabilityZone: 'wlg-a', latencyMs: 20 }], caps: [], remainingMs: 900, costMs: 5 }
 
-/** Log lines of a small burst through the real decision modules: every call, in virtual time. */
+/** Runs a small burst of requests through the real decision modules in virtual time, and returns a log line for every call. */
 export function recordBurst (seed: number): string[] {
   const lines: string[] = []
   const random = createSeededRandom(seed)
--- a/packages/almondrelay-cli/src/__fixtures__/runWith.ts
+++ b/packages/almondrelay-cli/src/__fixtures__/runWith.ts
@@ -6,7 +6,7 @@
   stderr: string
 }
 
-/** Runs `almondrelay` in this process and collects what it writes. */
+/** Runs `almondrelay` in this process and collects its output. */
 export async function runWith (args: readonly string[], environment: Record<string, string> = {}): Promise<ProgramResult> {
   const result: ProgramResult = { code: 0, stdout: '', stderr: '' }
   await runProgram({
--- a/packages/almondrelay-cli/src/__fixtures__/writeTemporary.ts
+++ b/packages/almondrelay-cli/src/__fixtures__/writeTemporary.ts
@@ -6,7 +6,7 @@
 process.on('exit', () => rmSync(folder, { recursive: true }))
 let count = 0
 
-/** Writes a file for a test and returns its path; it goes when the test file ends. */
+/** Writes a file for a test and returns its path. The file is deleted when the process exits. */
 export function writeTemporary (text: string): string {
   count += 1
   const file = path.join(folder, `${count}.jsonc`)
--- a/packages/almondrelay-cli/src/account/__tests__/account.test.ts
+++ b/packages/almondrelay-cli/src/account/__tests__/account.test.ts
@@ -30,7 +30,7 @@
   }
 }
 
-test('who got what, by caller and outcome', async () => {
+test('requests are counted by caller and outcome', async () => {
   const result = await withReport(['--by', 'caller,outcome'])
   assert.is(result.code, 0, result.stderr)
   assert.match(result.stdout, /kowhai\s+run\s+7\s+14.3\s+40/)
@@ -38,30 +38,30 @@
   assert.match(result.stdout, 'total 13, from 2 pages')
 })
 
-test('what is missing, folded or lost is told with the total', async () => {
+test('missing and open minutes and folded requests are listed with the total', async () => {
   const result = await withReport([])
   assert.match(result.stdout, 'missing: akl-a-1 (incarnation 1): no page after 1970-01-01T00:01Z, and no planned stop')
   assert.match(result.stdout, 'open: pages of minutes after 1970-01-01T00:04Z may still come')
   assert.match(result.stdout, "folded: 2 requests are counted under the caller 'other'")
 })
 
-test('one caller, one service', async () => {
+test('the account can be limited to one caller and one service', async () => {
   const result = await withReport(['--by', 'target', '--caller', 'kowhai', '--service', 'approvals', '--output', 'json'])
   const shown = JSON.parse(result.stdout) as { total: number, rows: unknown[] }
   assert.is(shown.total, 1)
   assert.equal(shown.rows, [{ target: 'a1', requests: 1, meanMs: 10, maxMs: 10 }])
 })
 
-// A caller names itself `=cmd()`. The manager opens the account in a spreadsheet, which would
+// Guards against formula injection: a caller may call itself `=cmd()`, and a spreadsheet that opens the CSV file would
 // run the name as a formula.
-test('csv keeps a name from being read as a formula, and tells the gaps apart from the rows', async () => {
+test('csv output escapes names that look like formulas, and prints the gaps to stderr', async () => {
   const result = await withReport(['--by', 'caller', '--output', 'csv'])
   assert.match(result.stdout, "\r\n'=cmd(),1,")
   assert.not.match(result.stdout, 'missing')
   assert.match(result.stderr, 'missing')
 })
 
-test('times are ISO 8601 or how long ago; other words and unknown dimensions are refused', async () => {
+test('times are ISO 8601 or relative; other texts and unknown dimensions are refused', async () => {
   assert.is(parseTime('90m', 100 * MINUTE), 10 * MINUTE)
   assert.is(parseTime('1970-01-01T00:01Z', 0), MINUTE)
   assert.is((await withReport(['--since', 'yesterday'])).code, 2)
--- a/packages/almondrelay-cli/src/account/accountFormat.ts
+++ b/packages/almondrelay-cli/src/account/accountFormat.ts
@@ -1,4 +1,4 @@
-/** How an account is printed. */
+/** Output formats of an account. */
 const AccountFormat = {
   table: 'table',
   json: 'json',
--- a/packages/almondrelay-cli/src/account/accountQuery.ts
+++ b/packages/almondrelay-cli/src/account/accountQuery.ts
@@ -1,9 +1,9 @@
 import type { AccountDimension } from 'almondrelay'
 
-/** How a manager wants the account added up. */
+/** How the rows of an account are grouped and filtered. */
 export interface AccountQuery {
-  /** Dimensions of the result, in order. */
+  /** Dimensions to group by, in the order of the columns. */
   by: AccountDimension[]
-  /** Count only requests whose dimensions have these values. */
+  /** Values of dimensions; only requests that have them are counted. */
   only: Partial<Record<AccountDimension, string>>
 }
--- a/packages/almondrelay-cli/src/account/formatAccount.ts
+++ b/packages/almondrelay-cli/src/account/formatAccount.ts
@@ -5,7 +5,7 @@
 import type { AccountQuery } from './accountQuery.js'
 import { describeGaps } from './describeGaps.js'
 
-/** The rows of an account in one of the formats. */
+/** Formats the rows of an account as a table, JSON or CSV. */
 export function formatAccount (report: AccountReport, rows: readonly AccountRow[], query: AccountQuery, format: AccountFormat): string {
   return match(format)
     .with(AccountFormat.json, () => formatJson(report, rows, query))
@@ -31,7 +31,7 @@
   ...rows.map((row) => [...query.by.map((dimension) => formatCell(row[dimension])), row.count, computeMean(row), row.maxDurationMs].join(','))
 ].join('\r\n')
 
-// Callers name themselves; a name that begins with = + - or @ would run as a formula in the manager's spreadsheet.
+// Callers choose their names; a spreadsheet would run a name that begins with = + - or @ as a formula.
 const formatCell = (text: string): string => {
   const safe = /^[=+\-@\t\r]/.test(text) ? `'${text}` : text
   return /[",\r\n]/.test(safe) ? `"${safe.replaceAll('"', '""')}"` : safe
--- a/packages/almondrelay-cli/src/account/parseTime.ts
+++ b/packages/almondrelay-cli/src/account/parseTime.ts
@@ -3,7 +3,7 @@
 const UNIT_MS: Readonly<Record<string, number>> = { m: 60_000, h: 3_600_000, d: 86_400_000 }
 const AGO = /^(\d{1,6})([mhd])$/
 
-/** A time in milliseconds since the Unix epoch: ISO 8601, or how long before `now` as in 90m, 24h, 7d. */
+/** Parses a time, ISO 8601 or relative to `now` such as 90m, 24h or 7d ago, to milliseconds since the Unix epoch. */
 export function parseTime (text: string, now: number): number {
   const ago = AGO.exec(text)
   if (ago?.[1] !== undefined && ago[2] !== undefined) return now - Number(ago[1]) * (UNIT_MS[ago[2]] ?? 0)
--- a/packages/almondrelay-cli/src/account/summarizeAccount.ts
+++ b/packages/almondrelay-cli/src/account/summarizeAccount.ts
@@ -1,7 +1,7 @@
 import { accountDimensions, mergeRows, type AccountReport, type AccountRow } from 'almondrelay'
 import type { AccountQuery } from './accountQuery.js'
 
-/** The rows that a query asks for, greatest count first. */
+/** Groups and filters the rows of an account by a query; the highest count comes first. */
 export function summarizeAccount (report: AccountReport, query: AccountQuery): AccountRow[] {
   const rows = report.minutes
     .flatMap((minute) => minute.rows)
--- a/packages/almondrelay-cli/src/bin/almondrelay.ts
+++ b/packages/almondrelay-cli/src/bin/almondrelay.ts
@@ -14,6 +14,6 @@
     signal: interrupt.signal
   }, process.argv.slice(2))
 } catch (error) {
-  console.error(interrupt.signal.aborted ? 'interrupted; a write that was under way may have been stored' : error)
+  console.error(interrupt.signal.aborted ? 'interrupted; a write that was in progress may have been stored' : error)
   process.exitCode = ExitCode.failed
 }
--- a/packages/almondrelay-cli/src/client/computeReach.ts
+++ b/packages/almondrelay-cli/src/client/computeReach.ts
@@ -1,7 +1,7 @@
 import type { HostStatus } from './hostStatus.js'
 import type { RevisionReach } from './revisionReach.js'
 
-/** Where a revision is in force, by the status of one host. */
+/** Computes where a revision is in force, from the status that one host reports. */
 export function computeReach (status: HostStatus, revision: number): RevisionReach {
   const reachable = status.availabilityZones.filter((zone) => zone.revision !== undefined)
   const lagging = reachable.filter((zone) => (zone.revision ?? 0) < revision).map((zone) => zone.availabilityZone)
--- a/packages/almondrelay-cli/src/client/fetchResources.ts
+++ b/packages/almondrelay-cli/src/client/fetchResources.ts
@@ -5,7 +5,7 @@
 
 const ResourceList = z.looseObject({ revision: z.number(), resources: z.array(ShownResource) })
 
-/** Every resource of a kind, by name. */
+/** Fetches all resources of a kind, sorted by name. */
 export async function fetchResources (client: OperatorClient, kind: string): Promise<ShownResource[]> {
   const answer = await client.ask({ method: 'GET', path: `/v1/resources/${kind}` })
   return parseAnswer(answer, ResourceList, `the list of ${kind}`).resources.sort((left, right) => left.name.localeCompare(right.name))
--- a/packages/almondrelay-cli/src/client/fetchStatus.ts
+++ b/packages/almondrelay-cli/src/client/fetchStatus.ts
@@ -2,7 +2,7 @@
 import type { OperatorClient } from './operatorClient.js'
 import { parseAnswer } from './parseAnswer.js'
 
-/** The deployment as the host that answers sees it. */
+/** Fetches the status of the deployment as seen by the host that answers. */
 export async function fetchStatus (client: OperatorClient): Promise<HostStatus> {
   return parseAnswer(await client.ask({ method: 'GET', path: '/v1/status' }), HostStatus, 'the status')
 }
--- a/packages/almondrelay-cli/src/client/hostStatus.ts
+++ b/packages/almondrelay-cli/src/client/hostStatus.ts
@@ -13,16 +13,16 @@
 const ZoneStatus = z.looseObject({
   availabilityZone: z.string(),
   region: z.string(),
-  /** The lowest revision in force on a host that can be reached; absent where none can be. */
+  /** The lowest revision in force on the zone's reachable hosts; absent if no host of the zone can be reached. */
   revision: z.number().optional(),
   reachableHosts: z.number(),
-  /** Age of the oldest word that this is built on, in milliseconds. */
+  /** Age of the oldest report that this status is based on, in milliseconds. */
   knownAgeMs: z.number()
 })
 
 const NamedStatus = z.looseObject({ name: z.string(), revision: z.number(), status: ResourceStatus })
 
-/** What `GET /v1/status` says of the deployment, as one host sees it. */
+/** Answer of `GET /v1/status`: the deployment as seen by one host. */
 const HostStatus = z.looseObject({
   host: KnownHost,
   isReady: z.boolean(),
--- a/packages/almondrelay-cli/src/client/httpCall.ts
+++ b/packages/almondrelay-cli/src/client/httpCall.ts
@@ -1,9 +1,9 @@
-/** A call to an operator port. */
+/** A call to the operator port of a host. */
 export interface HttpCall {
   method: 'GET' | 'PUT' | 'DELETE'
   path: string
   headers?: Record<string, string>
   body?: unknown
-  /** Longest time for the answer in milliseconds, beyond which it counts as lost. */
+  /** Maximum time to wait for the answer in milliseconds; after it the answer counts as lost. */
   timeoutMs?: number
 }
--- a/packages/almondrelay-cli/src/client/operatorClient.ts
+++ b/packages/almondrelay-cli/src/client/operatorClient.ts
@@ -5,15 +5,15 @@
 
 const DEFAULT_TIMEOUT_MS = 5_000
 
-/** Errors after which no byte of the call can have reached the host. */
+/** Codes of errors that occur before the connection is open, so that no byte of the call can have reached the host. */
 const NOT_SENT = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'EADDRNOTAVAIL', 'UND_ERR_CONNECT_TIMEOUT'])
 
-/** Speaks to the operator port of the first given host that can be reached. */
+/** Sends calls to the operator port of the first of the given hosts that can be reached and is ready. */
 export class OperatorClient {
   constructor (private readonly addresses: readonly string[], private readonly signal: AbortSignal) {}
 
   /**
-   * Sends a call that may be sent twice, so the next host is tried after any failure.
+   * Sends an idempotent call: the next host is tried after any failure.
    *
    * @throws AlmondrelayError of kind `peer-unavailable` when no host answered.
    */
@@ -23,17 +23,17 @@
   }
 
   /**
-   * Sends a write. The next host is tried only while no host can have taken it.
+   * Sends a write. The next host is tried only while no host can have received the write.
    *
-   * A write whose answer is lost may have been stored: the operator would see a failure, write
-   * again and so undo what a colleague wrote in between. So the failure is returned as
-   * undefined, and the writer has to ask by the write id.
+   * A write whose answer is lost may have been stored. If it were reported as failed, the operator would write again and
+   * could overwrite a change that another operator made in between. So undefined is returned, and the caller has to look
+   * up the outcome by the write id.
    */
   async write (call: HttpCall): Promise<HttpAnswer | undefined> {
     return await this.tryHosts(call, isNotSent)
   }
 
-  /** The first host's answer; undefined after a failure that `allowNext` does not let another host follow. */
+  /** Returns the first answer; undefined after a failure for which `allowNext` does not allow trying another host. */
   private async tryHosts (call: HttpCall, allowNext: (error: unknown) => boolean): Promise<HttpAnswer | undefined> {
     const failures: string[] = []
     for (const address of this.addresses) {
@@ -63,7 +63,7 @@
   }
 }
 
-// A host without a configuration says so, and has written nothing.
+// A host without a configuration answers `not-ready` and has stored nothing.
 const isNotReady = (answer: HttpAnswer): boolean => answer.status === 503 && (answer.body as { outcome?: string } | undefined)?.outcome === 'not-ready'
 
 const isNotSent = (error: unknown): boolean => NOT_SENT.has((error as { code?: string }).code ?? '')
--- a/packages/almondrelay-cli/src/client/parseAnswer.ts
+++ b/packages/almondrelay-cli/src/client/parseAnswer.ts
@@ -5,17 +5,17 @@
 const Failure = z.looseObject({ message: z.string() })
 
 /**
- * The body of an answer with status 200.
+ * Parses the body of an answer with status 200.
  *
  * @throws AlmondrelayError of kind `resource-missing` for 404, `not-ready` for any other status
- * and for a body of another shape.
+ * and for a body that does not match the schema.
  */
 export function parseAnswer<Schema extends z.ZodType> (answer: HttpAnswer, schema: Schema, what: string): z.output<Schema> {
-  if (answer.status === 404) throw new AlmondrelayError({ kind: ErrorKind.resourceMissing, message: `${what} does not exist`, remedy: 'see what there is with almondrelay get <kind>' })
-  if (answer.status !== 200) throw new AlmondrelayError({ kind: ErrorKind.notReady, message: `${answer.address} answered ${answer.status} to ${what}${describeFailure(answer.body)}`, remedy: 'try again, or name another host with --operator' })
+  if (answer.status === 404) throw new AlmondrelayError({ kind: ErrorKind.resourceMissing, message: `${what} does not exist`, remedy: 'list the existing resources with almondrelay get <kind>' })
+  if (answer.status !== 200) throw new AlmondrelayError({ kind: ErrorKind.notReady, message: `${answer.address} answered ${answer.status} for ${what}${describeFailure(answer.body)}`, remedy: 'try again, or name another host with --operator' })
   const parsed = schema.safeParse(answer.body)
   if (parsed.success) return parsed.data
-  throw new AlmondrelayError({ kind: ErrorKind.notReady, message: `the answer of ${answer.address} to ${what} has an unknown shape (${z.prettifyError(parsed.error)})`, remedy: 'use the almondrelay of the same version as the hosts' })
+  throw new AlmondrelayError({ kind: ErrorKind.notReady, message: `the answer of ${answer.address} for ${what} has an unexpected format (${z.prettifyError(parsed.error)})`, remedy: 'use the almondrelay of the same version as the hosts' })
 }
 
 const describeFailure = (body: unknown): string => {
--- a/packages/almondrelay-cli/src/client/quarantinedRequest.ts
+++ b/packages/almondrelay-cli/src/client/quarantinedRequest.ts
@@ -1,14 +1,14 @@
 import { z } from 'zod'
 
-/** A request under which targets ended, as a host knows it. */
+/** A request that was running when targets exited, as known to one host. */
 const QuarantinedRequest = z.object({
   fingerprint: z.string(),
-  /** Empty where callers don't identify themselves. */
+  /** Organisation that sent the request; empty where callers don't identify themselves. */
   organisation: z.string(),
-  /** Targets that ended under it without a whole answer since. */
+  /** Number of target exits while the request was running, not counting those before its last complete answer. */
   ends: z.number(),
   isQuarantined: z.boolean(),
-  /** Times that it was sent on while it was quarantined. */
+  /** Number of times that the request was forwarded as a trial while quarantined. */
   trials: z.number(),
   nextTrialMs: z.number().optional()
 })
--- a/packages/almondrelay-cli/src/client/releaseRequest.ts
+++ b/packages/almondrelay-cli/src/client/releaseRequest.ts
@@ -5,7 +5,7 @@
 const Released = z.object({ outcome: z.literal('released') })
 
 /**
- * Ends the quarantine of one request at all hosts. It may be asked twice.
+ * Ends the quarantine of one request at all hosts. The call is idempotent.
  *
  * @throws AlmondrelayError of kind `resource-missing` where the host knows no such request.
  */
--- a/packages/almondrelay-cli/src/client/resourceStatus.ts
+++ b/packages/almondrelay-cli/src/client/resourceStatus.ts
@@ -1,14 +1,14 @@
 import { z } from 'zod'
 
-/** What holds of a resource, as the resource API says it. */
+/** Status of a resource as the resource API returns it. */
 const ResourceStatus = z.looseObject({
   isInForce: z.boolean().optional(),
-  /** Of a Drain: requests that still run on what is drained. */
+  /** For a Drain: requests that still run on the drained target, availability zone or region. */
   workLeft: z.number().optional(),
-  /** Of a Region, Link or ShiftCap: requests in flight, beside its limit. */
+  /** For a Region, Link or ShiftCap: requests in flight, to be compared with `limit`. */
   carried: z.number().optional(),
   limit: z.number().optional(),
-  /** What holds a drain back, in words. */
+  /** Description of what delays a drain. */
   message: z.string().optional()
 })
 
--- a/packages/almondrelay-cli/src/client/revisionReach.ts
+++ b/packages/almondrelay-cli/src/client/revisionReach.ts
@@ -1,11 +1,11 @@
-/** Where a revision is in force. */
+/** Where a revision is in force, as far as the answering host knows. */
 export interface RevisionReach {
-  /** In force on every host that can be reached. */
+  /** Whether the revision is in force on every reachable host. */
   inForce: boolean
-  /** Availability zones that can be reached. */
+  /** Number of availability zones that can be reached. */
   zones: number
-  /** Availability zones with a host that does not have it yet. */
+  /** Availability zones with a reachable host that does not have the revision yet. */
   lagging: string[]
-  /** Hosts of which nothing is known now. */
+  /** Hosts that can't be reached, so that their revision is not known. */
   unreachable: string[]
 }
--- a/packages/almondrelay-cli/src/client/shownResource.ts
+++ b/packages/almondrelay-cli/src/client/shownResource.ts
@@ -1,7 +1,7 @@
 import { z } from 'zod'
 import { ResourceStatus } from './resourceStatus.js'
 
-/** A resource as the resource API shows it. */
+/** A resource as the resource API returns it. */
 const ShownResource = z.looseObject({
   kind: z.string(),
   name: z.string(),
--- a/packages/almondrelay-cli/src/client/waitForReach.ts
+++ b/packages/almondrelay-cli/src/client/waitForReach.ts
@@ -6,7 +6,7 @@
 
 const POLL_MS = 100
 
-/** Asks until the revision is in force wherever it can be reached, or the time is over. */
+/** Polls the status until the revision is in force on every reachable host, or the timeout has passed. */
 export async function waitForReach (client: OperatorClient, revision: number, timeoutMs: number, signal: AbortSignal): Promise<RevisionReach> {
   const until = performance.now() + timeoutMs
   for (;;) {
--- a/packages/almondrelay-cli/src/client/writeAnswer.ts
+++ b/packages/almondrelay-cli/src/client/writeAnswer.ts
@@ -1,7 +1,7 @@
 import { z } from 'zod'
 import { WriteProblem } from './writeProblem.js'
 
-/** How a host answers a write. */
+/** Answer of a host to a write. */
 const WriteAnswer = z.discriminatedUnion('outcome', [
   z.looseObject({ outcome: z.literal('accepted'), revision: z.number() }),
   z.looseObject({ outcome: z.literal('conflict'), revision: z.number() }),
--- a/packages/almondrelay-cli/src/client/writeOutcome.ts
+++ b/packages/almondrelay-cli/src/client/writeOutcome.ts
@@ -1,12 +1,12 @@
 import type { WriteProblem } from './writeProblem.js'
 
-/** What became of a write. */
+/** Outcome of a write as shown to the operator. */
 export type WriteOutcome =
   | { outcome: 'accepted', revision: number, writeId: string }
   | { outcome: 'unchanged', revision: number }
   | { outcome: 'rejected', problems: WriteProblem[] }
-  /** `revision` is the one that came first. */
+  /** `revision` is that of the other write, which came first. */
   | { outcome: 'conflict', revision: number }
-  /** There was nothing to delete. */
+  /** The resource to delete does not exist. */
   | { outcome: 'missing' }
   | { outcome: 'unknown', writeId: string }
--- a/packages/almondrelay-cli/src/client/writeProblem.ts
+++ b/packages/almondrelay-cli/src/client/writeProblem.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod'
 
-/** What is wrong in a resource, as the resource API says it. */
+/** A problem in a resource, as the resource API returns it. */
 const WriteProblem = z.looseObject({ path: z.string(), found: z.string(), remedy: z.string() })
 
 type WriteProblem = z.output<typeof WriteProblem>
--- a/packages/almondrelay-cli/src/client/writeResource.ts
+++ b/packages/almondrelay-cli/src/client/writeResource.ts
@@ -14,24 +14,24 @@
   kind: string
   name: string
   spec?: unknown
-  /** The revision that is replaced; undefined where there must be no resource of the name. */
+  /** Revision to replace; undefined if no resource of this name may exist. */
   revision: number | undefined
   author: string
 }
 
-/** How often, and how long apart, a lost write is looked up before it is told as unknown. */
+/** Number of times that a write is sent and then looked up, and the delay between them, before its outcome is reported as unknown. */
 const LOOK_UPS = 5
 const LOOK_UP_PAUSE_MS = 300
-/** Longer than the 5 s for which a host tries to find out what became of a write. */
+/** Longer than the 5 s for which a host itself tries to determine the outcome of a write. */
 const WRITE_TIMEOUT_MS = 8_000
 
 /**
- * Writes or deletes a resource. Where the answer is lost, the write is looked up by its id, and
- * sent again under the same id where it is absent.
+ * Writes or deletes a resource. If the answer is lost, the write is looked up by its id, and sent again under the same id
+ * if it was not stored.
  *
- * Guards against a lost answer: the operator would be told of a failure, while the change is in
- * force. "Absent" is no refusal, since the first message may still be on the way; but the hosts
- * store one id once, so the answer to the second message holds for both.
+ * Without the look-up a lost answer would be reported as a failure although the change is in force. `absent` does not mean
+ * that the write was refused, since the first message may still be in transit; but the hosts store each write id only once,
+ * so the answer to the second message holds for both.
  */
 export async function writeResource (client: OperatorClient, write: ResourceWrite, signal: AbortSignal): Promise<WriteOutcome> {
   const writeId = randomUUID()
@@ -58,7 +58,7 @@
   ...(write.method === 'PUT' ? { body: write.spec } : {})
 })
 
-// Undefined where the answer does not say what became of the write.
+// Undefined if the answer does not say whether the write was stored.
 const toOutcome = (answer: HttpAnswer | undefined, writeId: string): WriteOutcome | undefined => {
   if (answer === undefined) return undefined
   const parsed = WriteAnswer.safeParse(answer.body)
--- a/packages/almondrelay-cli/src/client/writeState.ts
+++ b/packages/almondrelay-cli/src/client/writeState.ts
@@ -1,9 +1,9 @@
 import { z } from 'zod'
 
-/** What a host knows of a write by its id. */
+/** State of a write, as a host reports it for a write id. */
 const WriteState = z.discriminatedUnion('outcome', [
   z.looseObject({ outcome: z.literal('accepted'), revision: z.number() }),
-  /** Not stored as of now; its message may still be on the way. */
+  /** Not stored so far; the message with the write may still be in transit. */
   z.looseObject({ outcome: z.literal('absent') }),
   z.looseObject({ outcome: z.literal('unknown') })
 ])
--- a/packages/almondrelay-cli/src/commands/__tests__/almondrelay.test.ts
+++ b/packages/almondrelay-cli/src/commands/__tests__/almondrelay.test.ts
@@ -20,7 +20,7 @@
   }
 }
 
-test('apply writes what others need first, get shows it, a second apply changes nothing', () => withOperator(async (fake, ...operator) => {
+test('apply writes dependencies first, get shows the resource, a second apply changes nothing', () => withOperator(async (fake, ...operator) => {
   const applied = await runWith(['apply', '-f', EXAMPLE, '--wait', '1000', ...operator])
   assert.is(applied.code, 0, applied.stderr)
   assert.equal(fake.stored.map((key) => key.split('/')[0]), ['Region', 'Region', 'Link', 'Link', 'Service', 'ShiftCap', 'SteeringPolicy', 'Drain'])
@@ -32,16 +32,16 @@
   assert.is((JSON.parse(shown.stdout) as { spec: { maxInFlight: number } }).spec.maxInFlight, 10)
 }))
 
-// The first host named is down. The operator sees the write done, since the connection was
-// refused before a byte left, and the next host takes it.
-test('a host that can not be reached is passed over', () => withOperator(async (fake) => {
+// Guards against giving up when the first host is down: its connection was refused before a byte was sent, so the write
+// goes to the next host.
+test('an unreachable host is skipped', () => withOperator(async (fake) => {
   const result = await runWith(['apply', '-f', linkFile, '--operator', CLOSED, fake.address])
   assert.is(result.code, 0, result.stderr)
   assert.is(fake.revision, 1)
 }))
 
-// The host stores the write and the answer is lost. Told "failed", the operator would write
-// again over a colleague's change; the write id says that it was stored.
+// Guards against reporting a stored write as failed after its answer was lost: the operator would write again and could
+// overwrite another operator's change. The look-up by write id shows that the write was stored.
 test('a lost answer is looked up by its write id', () => withOperator(async (fake, ...operator) => {
   fake.loseNextAnswer = true
   const result = await runWith(['apply', '-f', linkFile, ...operator])
@@ -50,9 +50,9 @@
   assert.is(fake.stored.length, 1)
 }))
 
-// The connection breaks before the host takes the write. It is absent, which is no refusal; it
-// is sent again under the same id, and the operator is told what became of that.
-test('a write that never arrived is sent again under its id', () => withOperator(async (fake, ...operator) => {
+// Guards against reporting a write as failed that never arrived because the connection broke: the look-up gives `absent`,
+// which is not a refusal, so the write is sent again under the same id and the outcome of that is reported.
+test('a write that never arrived is sent again under the same id', () => withOperator(async (fake, ...operator) => {
   fake.loseNextWrite = true
   const result = await runWith(['apply', '-f', linkFile, ...operator])
   assert.is(result.code, 0, result.stderr)
@@ -60,7 +60,7 @@
   assert.is(fake.writes.size, 1)
 }))
 
-test('a host without a configuration is passed over', () => withOperator(async (fake) => {
+test('a host without a configuration is skipped', () => withOperator(async (fake) => {
   const fresh = await FakeOperator.start()
   fresh.isReady = false
   const result = await runWith(['apply', '-f', linkFile, '--operator', fresh.address, fake.address])
@@ -69,9 +69,9 @@
   assert.is(fake.stored.length, 1)
 }))
 
-// The platform is down while the write is under way. Neither "stored" nor "not stored" would
-// be true; the operator gets the id by which to ask later.
-test('an unknown outcome is told as unknown, with the id to ask by', () => withOperator(async (fake, ...operator) => {
+// Guards against a false "stored" or "not stored" when the platform fails during a write: the outcome is unknown, and the
+// operator gets the write id with which to look it up later.
+test('an unknown outcome is reported as unknown, with the write id', () => withOperator(async (fake, ...operator) => {
   fake.platformDown = true
   const result = await runWith(['apply', '-f', linkFile, ...operator])
   assert.is(result.code, 5)
@@ -84,9 +84,9 @@
   assert.match((await runWith(['outcome', writeId, ...operator])).stdout, 'stored as revision 7')
 }))
 
-// Two operators write one resource. The second learns that the first came first and what to
-// look at; its own write is not stored, and nothing after it in the file is tried.
-test('a conflict names the revision that came first and ends the apply', () => withOperator(async (fake, ...operator) => {
+// Two operators write the same resource. The second write must not be stored; the message names the revision that came
+// first, and the rest of the file is not applied.
+test('a conflict names the revision that came first and stops the apply', () => withOperator(async (fake, ...operator) => {
   fake.raceNextWrite = true
   const result = await runWith(['apply', '-f', EXAMPLE, ...operator])
   assert.is(result.code, 4)
@@ -94,20 +94,20 @@
   assert.equal(fake.stored, [])
 }))
 
-test('a revision in the file guards against writing over a newer one', () => withOperator(async (fake, ...operator) => {
+test('a revision in the file prevents overwriting a newer one', () => withOperator(async (fake, ...operator) => {
   await runWith(['apply', '-f', linkFile, ...operator])
   const stale = writeTemporary(JSON.stringify([{ kind: 'Link', name: 'akl-wlg', revision: 0, spec: { ...LINK, maxInFlight: 9 } }]))
   assert.is((await runWith(['apply', '-f', stale, ...operator])).code, 4)
 }))
 
-test('a rejected resource tells path and remedy', () => withOperator(async (fake, ...operator) => {
+test('a rejected resource is shown with path and remedy', () => withOperator(async (fake, ...operator) => {
   fake.problems = [{ path: 'spec.to', found: 'wlg', remedy: 'declare the Region wlg first' }]
   const result = await runWith(['apply', '-f', linkFile, ...operator])
   assert.is(result.code, 3)
   assert.match(result.stdout, 'spec.to: found wlg; declare the Region wlg first')
 }))
 
-test('waiting ends with its own code when a zone lags, and names what is unreachable', () => withOperator(async (fake, ...operator) => {
+test('--wait ends with its own exit code when a zone lags, and names unreachable hosts', () => withOperator(async (fake, ...operator) => {
   fake.laggingRevision = 0
   fake.unreachable = ['chc-a-1']
   const result = await runWith(['apply', '-f', linkFile, '--wait', '50', ...operator])
@@ -115,7 +115,7 @@
   assert.match(result.stdout, "behind: wlg-a; can't be reached, so not known: chc-a-1")
 }))
 
-test('watch ends when the drain is drained, and at the limit when it is not', () => withOperator(async (fake, ...operator) => {
+test('watch ends when the drain is drained, or else at the timeout', () => withOperator(async (fake, ...operator) => {
   fake.resources.set('Drain/m', { kind: 'Drain', name: 'm', revision: 0, spec: {}, status: { isInForce: true, workLeft: 3 } })
   const early = await runWith(['watch', 'Drain', 'm', '--until', 'drained', '--timeout', '10', ...operator])
   assert.is(early.code, 7)
@@ -125,7 +125,7 @@
   assert.is((await runWith(['watch', 'Drain', 'other', ...operator])).code, 8)
 }))
 
-test('delete removes, and says so when there is nothing', () => withOperator(async (fake, ...operator) => {
+test('delete removes a resource, and fails if it does not exist', () => withOperator(async (fake, ...operator) => {
   await runWith(['apply', '-f', linkFile, ...operator])
   assert.is((await runWith(['delete', 'Link', 'akl-wlg', '--wait', '1000', ...operator])).code, 0)
   assert.is(fake.resources.size, 0)
@@ -140,7 +140,7 @@
   assert.match((await runWith(['lookup', '--service', 'balances', ...operator])).stdout, /akl-a-1\s+127.0.0.1:8080/)
 }))
 
-test('errors name the remedy and have their exit codes', async () => {
+test('errors name a remedy and give their exit codes', async () => {
   const unreachable = await runWith(['status', '--operator', CLOSED])
   assert.is(unreachable.code, 6)
   assert.match(unreachable.stderr, '127.0.0.1:1: ECONNREFUSED')
@@ -166,11 +166,11 @@
   }
   const folder = new URL('../', import.meta.url)
   const files = readdirSync(folder).filter((name) => /^create\w+Command\.js$/.test(name))
-  assert.is(files.length, program.commands.length, 'a command stands in its file but not in the program')
+  assert.is(files.length, program.commands.length, 'a command file is not registered in the program')
   assert.ok(files.every((name) => readFileSync(new URL(name, folder), 'utf8').includes('formatExample(')))
 })
 
-test('the quarantine is shown, and one request of it is released', () => withOperator(async (fake, ...operator) => {
+test('quarantine shows the requests, and release ends the quarantine of one', () => withOperator(async (fake, ...operator) => {
   assert.match((await runWith(['quarantine', ...operator])).stdout, 'no request under which targets ended')
   fake.suspects = [{ fingerprint: 'ab12', organisation: 'school', ends: 3, isQuarantined: true, trials: 1, nextTrialMs: 900 }, { fingerprint: 'cd34', organisation: '', ends: 1, isQuarantined: false, trials: 0 }]
   const shown = await runWith(['quarantine', ...operator])
--- a/packages/almondrelay-cli/src/commands/createAccountCommand.ts
+++ b/packages/almondrelay-cli/src/commands/createAccountCommand.ts
@@ -23,16 +23,16 @@
 const DEFAULT_SPAN_MS = 3_600_000
 const DEFAULT_BY: AccountDimension[] = ['caller', 'service', 'outcome', 'reason']
 
-/** `almondrelay account`: who got what. */
+/** `almondrelay account`: counts of requests by caller, service, outcome and other dimensions. */
 export function createAccountCommand (terminal: Terminal): Command {
   return new Command('account')
-    .description('Tell who got what: requests by caller, service, target, region, outcome and reason, added up over all hosts. What is known to be missing is named.')
-    .option('--since <time>', 'first minute: ISO 8601, or how long ago as in 90m, 24h, 7d; an hour before --until without it', (text) => parseTime(text, Date.now()))
-    .option('--until <time>', 'last minute, the same; now without it', (text) => parseTime(text, Date.now()))
-    .option('--by <dimensions>', `what to tell apart, with commas: ${accountDimensions.join(', ')}`, parseDimensions, DEFAULT_BY)
+    .description('Show counts of requests by caller, service, target, region, outcome and reason, summed over all hosts. Known gaps are listed.')
+    .option('--since <time>', 'first minute: ISO 8601, or how long ago, such as 90m, 24h or 7d (default: an hour before --until)', (text) => parseTime(text, Date.now()))
+    .option('--until <time>', 'last minute, in the same formats (default: now)', (text) => parseTime(text, Date.now()))
+    .option('--by <dimensions>', `dimensions to group by, separated by commas: ${accountDimensions.join(', ')}`, parseDimensions, DEFAULT_BY)
     .option('--caller <name>', 'only this caller')
     .option('--service <name>', 'only this service')
-    .option('--operator <ip:port...>', 'operator port of a host (or ALMONDRELAY_OPERATOR, with commas)')
+    .option('--operator <ip:port...>', 'operator ports of hosts (or ALMONDRELAY_OPERATOR, separated by commas)')
     .addOption(new Option('--output <format>', 'table for people, json or csv for programs').choices(Object.values(AccountFormat)).default(AccountFormat.table))
     .addHelpText('after', formatExample('almondrelay account --since 24h --by caller,outcome --operator 10.1.1.11:8082', 'almondrelay account --since 2026-03-04T00:00Z --until 2026-03-05T00:00Z --caller kowhai --output csv'))
     .action(async (options: AccountOptions) => {
@@ -49,5 +49,5 @@
   const found = accountDimensions.find((dimension) => dimension === name)
   if (found !== undefined) return found
   const nearest = findNearestName(name, accountDimensions)
-  throw new InvalidArgumentError(nearest === undefined ? `Use some of ${accountDimensions.join(', ')}.` : `'${name}' is unknown: write ${nearest}.`)
+  throw new InvalidArgumentError(nearest === undefined ? `Use one or more of ${accountDimensions.join(', ')}.` : `'${name}' is unknown: write ${nearest}.`)
 })
--- a/packages/almondrelay-cli/src/commands/createApplyCommand.ts
+++ b/packages/almondrelay-cli/src/commands/createApplyCommand.ts
@@ -26,13 +26,13 @@
   author?: string
 }
 
-/** `almondrelay apply`: writes files of resources, in the order of what they need. */
+/** `almondrelay apply`: writes the resources in files, dependencies first. */
 export function createApplyCommand (terminal: Terminal): Command {
   return addOperatorOptions(new Command('apply'))
-    .description('Write files of resources, in the order of what they need. Ends at the first that is not accepted; what stands is left out.')
+    .description('Write the resources in files, dependencies first. Stops at the first that is not accepted; unchanged resources are skipped.')
     .requiredOption('-f, --file <file...>', 'file of resources: a list of {kind, name, spec}, JSON with comments')
-    .option('--wait <ms>', 'wait up to this long until they are in force everywhere that can be reached; a host hears of other regions every 2 s, so give 5000 or more', parseWhole)
-    .option('--author <name>', 'who writes, for the change log (or ALMONDRELAY_AUTHOR, or the user of this machine)')
+    .option('--wait <ms>', 'wait up to this long until the resources are in force on every reachable host; reports from other regions arrive every 2 s, so give 5000 or more', parseWhole)
+    .option('--author <name>', 'author to record in the change log (default: ALMONDRELAY_AUTHOR, or the user of this machine)')
     .addHelpText('after', formatExample('almondrelay apply -f shift.jsonc --wait 5000 --operator 10.1.1.11:8082 --operator 10.2.1.11:8082'))
     .action(async (options: ApplyOptions) => {
       const resources = sortByDependence(await loadResources(options.file))
@@ -42,7 +42,7 @@
     })
 }
 
-// The highest revision that they stand at; undefined when one was not accepted.
+// Returns the highest revision of the resources; undefined if one was not accepted.
 const applyAll = async (terminal: Terminal, client: OperatorClient, resources: readonly DeclaredResource[], options: ApplyOptions): Promise<number | undefined> => {
   let highest = 0
   for (const resource of resources) {
--- a/packages/almondrelay-cli/src/commands/createClient.ts
+++ b/packages/almondrelay-cli/src/commands/createClient.ts
@@ -5,20 +5,20 @@
 const ADDRESS = /^(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-fA-F:]+\]):\d{1,5}$/
 
 /**
- * A client for the hosts of --operator, or else of ALMONDRELAY_OPERATOR.
+ * Creates a client for the hosts given with --operator, or else in ALMONDRELAY_OPERATOR.
  *
- * @throws AlmondrelayError of kind `request-invalid` when there is none, or one is no address.
+ * @throws AlmondrelayError of kind `request-invalid` if no host is given, or one of them is not an address.
  */
 export function createClient (terminal: Terminal, operator: readonly string[] | undefined): OperatorClient {
   const given = operator ?? (terminal.environment.ALMONDRELAY_OPERATOR ?? '').split(',').filter((address) => address !== '')
-  if (given.length === 0) throw makeError('no host is named')
+  if (given.length === 0) throw makeError('no host is given')
   const wrong = given.find((address) => !ADDRESS.test(address))
-  if (wrong !== undefined) throw makeError(`'${wrong}' is no address`)
+  if (wrong !== undefined) throw makeError(`'${wrong}' is not an address`)
   return new OperatorClient(given, terminal.signal)
 }
 
 const makeError = (message: string): AlmondrelayError => new AlmondrelayError({
   kind: ErrorKind.requestInvalid,
   message,
-  remedy: 'write --operator 10.1.1.11:8082, an IP number and the operator port of a host'
+  remedy: 'write --operator 10.1.1.11:8082, the IP address and operator port of a host'
 })
--- a/packages/almondrelay-cli/src/commands/createDeleteCommand.ts
+++ b/packages/almondrelay-cli/src/commands/createDeleteCommand.ts
@@ -20,20 +20,20 @@
   author?: string
 }
 
-/** `almondrelay delete`: removes one resource. */
+/** `almondrelay delete`: deletes one resource. */
 export function createDeleteCommand (terminal: Terminal): Command {
   return addOperatorOptions(new Command('delete'))
-    .description('Delete a resource. A drain that is deleted ends.')
+    .description('Delete a resource. Deleting a drain ends it.')
     .argument('<kind>', 'Service, Region, Link, SteeringPolicy, Drain or ShiftCap')
     .argument('<name>', 'name of the resource')
-    .option('--wait <ms>', 'wait up to this long until it is gone everywhere that can be reached', parseWhole)
-    .option('--author <name>', 'who writes, for the change log')
+    .option('--wait <ms>', 'wait up to this long until the deletion is in force on every reachable host', parseWhole)
+    .option('--author <name>', 'author to record in the change log')
     .addHelpText('after', formatExample('almondrelay delete Drain akl-a-maintenance --wait 5000 --operator 10.1.1.11:8082'))
     .action(async (kindText: string, name: string, options: DeleteOptions) => {
       const kind = parseKind(kindText)
       const client = createClient(terminal, options.operator)
       const present = await fetchResource(client, kind, name)
-      if (present === undefined) throw new AlmondrelayError({ kind: ErrorKind.resourceMissing, message: `${kind}/${name} does not exist`, remedy: `see what there is with almondrelay get ${kind}` })
+      if (present === undefined) throw new AlmondrelayError({ kind: ErrorKind.resourceMissing, message: `${kind}/${name} does not exist`, remedy: `list the existing ones with almondrelay get ${kind}` })
       const result = await writeResource(client, { method: 'DELETE', kind, name, revision: present.revision, author: findAuthor(terminal, options.author) }, terminal.signal)
       terminal.writeLine(options.output === OutputFormat.json ? JSON.stringify({ resource: `${kind}/${name}`, ...result }) : describeWrite(`${kind}/${name}`, result))
       terminal.setExitCode(exitCodeByOutcome[result.outcome])
--- a/packages/almondrelay-cli/src/commands/createExplainCommand.ts
+++ b/packages/almondrelay-cli/src/commands/createExplainCommand.ts
@@ -12,10 +12,10 @@
   output: OutputFormat
 }
 
-/** `almondrelay explain`: one request's decisions. */
+/** `almondrelay explain`: describes the decisions about one request. */
 export function createExplainCommand (terminal: Terminal): Command {
   return new Command('explain')
-    .description('Tell in plain words what was decided about one request, from the log lines of the hosts it passed.')
+    .description('Explain the decisions about one request, from the log lines of the hosts that handled it.')
     .argument('<request id>', 'the Idempotency-Key of the request')
     .requiredOption('--log <file...>', 'log files of the hosts')
     .addOption(new Option('--output <format>', 'table for people, json for programs').choices(Object.values(OutputFormat)).default(OutputFormat.table))
@@ -23,7 +23,7 @@
     .action(async (requestId: string, options: ExplainOptions) => {
       const lines = await findLines(requestId, options.log)
       if (lines.length === 0) {
-        terminal.writeError(`no decision about ${requestId} stands in these logs; give the logs of every host it may have passed, of the time it was made`)
+        terminal.writeError(`no decision about ${requestId} was found in these logs; give the logs of every host that may have handled the request, for the time when it was sent`)
         terminal.setExitCode(ExitCode.absent)
         return
       }
@@ -31,7 +31,7 @@
     })
 }
 
-// In order of time; lines of one host and millisecond stay in the order of the log.
+// Sorted by time; lines of the same host and millisecond keep the order of the log.
 const findLines = async (requestId: string, files: readonly string[]): Promise<TraceLine[]> => {
   const lines: TraceLine[] = []
   for await (const { line } of readTrace(files)) if (line.requestId === requestId) lines.push(line)
--- a/packages/almondrelay-cli/src/commands/createGetCommand.ts
+++ b/packages/almondrelay-cli/src/commands/createGetCommand.ts
@@ -13,7 +13,7 @@
 import { formatExample } from './formatExample.js'
 import type { OperatorOptions } from './operatorOptions.js'
 
-/** `almondrelay get`: resources with spec and status. */
+/** `almondrelay get`: shows resources with spec and status. */
 export function createGetCommand (terminal: Terminal): Command {
   return addOperatorOptions(new Command('get'))
     .description('Show the resources of a kind, or one of them, with spec and status.')
@@ -32,5 +32,5 @@
   if (name === undefined) return fetchResources(client, kind)
   const resource = await fetchResource(client, kind, name)
   if (resource !== undefined) return [resource]
-  throw new AlmondrelayError({ kind: ErrorKind.resourceMissing, message: `${kind}/${name} does not exist`, remedy: `see what there is with almondrelay get ${kind}` })
+  throw new AlmondrelayError({ kind: ErrorKind.resourceMissing, message: `${kind}/${name} does not exist`, remedy: `list the existing ones with almondrelay get ${kind}` })
 }
--- a/packages/almondrelay-cli/src/commands/createLookupCommand.ts
+++ b/packages/almondrelay-cli/src/commands/createLookupCommand.ts
@@ -24,13 +24,13 @@
   hosts: z.array(z.looseObject({ name: z.string(), incarnation: z.number(), address: z.string(), region: z.string(), availabilityZone: z.string(), weight: z.number() }))
 })
 
-/** `almondrelay lookup`: the entry hosts that a caller would be given. */
+/** `almondrelay lookup`: shows the entry hosts that a look-up would return to a caller. */
 export function createLookupCommand (terminal: Terminal): Command {
   return addOperatorOptions(new Command('lookup'))
-    .description('Show which entry hosts a caller is given for a service.')
-    .requiredOption('--service <name>', 'service that the caller wants')
-    .option('--from <ip>', 'IP number of the caller')
-    .option('--entry <ip:port>', 'caller port of a host; without it, that of the host given by --operator')
+    .description('Show the entry hosts that a look-up returns to a caller of a service.')
+    .requiredOption('--service <name>', 'service that the caller looks up')
+    .option('--from <ip>', 'IP address of the caller')
+    .option('--entry <ip:port>', 'caller port of a host (default: that of the host given with --operator)')
     .addHelpText('after', formatExample('almondrelay lookup --service balances --from 10.9.1.4 --entry 10.1.1.11:8080'))
     .action(async (options: LookupOptions) => {
       const client = new OperatorClient([await findEntry(terminal, options)], terminal.signal)
@@ -44,10 +44,10 @@
   if (options.entry !== undefined) return options.entry
   const status = await fetchStatus(createClient(terminal, options.operator))
   if (status.host.callerAddress !== '') return status.host.callerAddress
-  throw new AlmondrelayError({ kind: ErrorKind.requestInvalid, message: `${status.host.host} does not say where its caller port is`, remedy: 'name it with --entry <ip:port>' })
+  throw new AlmondrelayError({ kind: ErrorKind.requestInvalid, message: `${status.host.host} does not report the address of its caller port`, remedy: 'name it with --entry <ip:port>' })
 }
 
 const formatAnswer = (answer: z.output<typeof LookupAnswer>): string => [
-  `revision ${answer.revision}, to be kept for ${answer.ttlMs} ms`,
+  `revision ${answer.revision}, may be cached for ${answer.ttlMs} ms`,
   formatTable(['host', 'address', 'region', 'availability zone', 'weight'], answer.hosts.map((host) => [host.name, host.address, host.region, host.availabilityZone, host.weight.toFixed(3)]))
 ].join('\n')
--- a/packages/almondrelay-cli/src/commands/createOutcomeCommand.ts
+++ b/packages/almondrelay-cli/src/commands/createOutcomeCommand.ts
@@ -10,11 +10,11 @@
 import { formatExample } from './formatExample.js'
 import type { OperatorOptions } from './operatorOptions.js'
 
-/** `almondrelay outcome`: what became of a write whose answer was lost. */
+/** `almondrelay outcome`: shows the outcome of a write whose answer was lost. */
 export function createOutcomeCommand (terminal: Terminal): Command {
   return addOperatorOptions(new Command('outcome'))
-    .description('Tell what became of a write whose outcome was not known.')
-    .argument('<write id>', 'the id that apply or delete named')
+    .description('Show the outcome of a write that was reported as unknown.')
+    .argument('<write id>', 'the write id that apply or delete printed')
     .addHelpText('after', formatExample('almondrelay outcome 7d0f0a52-6a3c-4f0e-9b93-0d8f2a3f6f11 --operator 10.1.1.11:8082'))
     .action(async (writeId: string, options: OperatorOptions) => {
       const answer = await createClient(terminal, options.operator).ask({ method: 'GET', path: `/v1/writes/${encodeURIComponent(writeId)}` })
@@ -27,6 +27,6 @@
 
 const describeState = (state: WriteState): string => match(state)
   .with({ outcome: 'accepted' }, ({ revision }) => `stored as revision ${revision}`)
-  .with({ outcome: 'absent' }, () => 'not stored as of now')
-  .with({ outcome: 'unknown' }, () => 'still not known; the platform can\'t be read now, ask again later')
+  .with({ outcome: 'absent' }, () => 'not stored so far')
+  .with({ outcome: 'unknown' }, () => 'still unknown; the platform can\'t be read now, try again later')
   .exhaustive()
--- a/packages/almondrelay-cli/src/commands/createProgram.ts
+++ b/packages/almondrelay-cli/src/commands/createProgram.ts
@@ -36,21 +36,21 @@
 
 const EXIT_CODES = `
 Exit codes:
-  ${ExitCode.ok}  done, or what was asked holds
+  ${ExitCode.ok}  done, or the awaited state holds
   ${ExitCode.failed}  any other error
   ${ExitCode.usage}  wrong command line; nothing was sent
   ${ExitCode.rejected}  a resource is invalid and was not stored
   ${ExitCode.conflict}  another write came first
-  ${ExitCode.unknown}  not known whether a write was stored; its write id is named
+  ${ExitCode.unknown}  not known whether a write was stored; the message gives its write id
   ${ExitCode.unreachable}  no host could be reached
-  ${ExitCode.timeout}  the time limit passed first
-  ${ExitCode.absent}  what was asked for does not exist
+  ${ExitCode.timeout}  the time limit passed before the awaited state held
+  ${ExitCode.absent}  the resource, request or write does not exist
   ${ExitCode.different}  a replayed decision differs from the recorded one`
 
-/** The command line `almondrelay`, with all its commands. */
+/** Creates the command line `almondrelay` with all its commands. */
 export function createProgram (terminal: Terminal): Command {
   const program = new Command('almondrelay')
-    .description('Operate almondrelay: declare what you want, watch what holds, read who got what.')
+    .description('Operate almondrelay: declare resources, watch them take effect, read the account of requests.')
     .addHelpText('after', `${formatExample('almondrelay apply -f shift.jsonc --wait 5000 --operator 10.1.1.11:8082', 'almondrelay help watch')}\n${EXIT_CODES}`)
   for (const createCommand of COMMANDS) program.addCommand(createCommand(terminal))
   applyToAll(program, terminal)
--- a/packages/almondrelay-cli/src/commands/createQuarantineCommand.ts
+++ b/packages/almondrelay-cli/src/commands/createQuarantineCommand.ts
@@ -9,10 +9,10 @@
 import { formatExample } from './formatExample.js'
 import type { OperatorOptions } from './operatorOptions.js'
 
-/** `almondrelay quarantine`: requests under which targets ended. */
+/** `almondrelay quarantine`: shows the requests that were running when targets exited. */
 export function createQuarantineCommand (terminal: Terminal): Command {
   return addOperatorOptions(new Command('quarantine'))
-    .description('Show requests under which targets ended, and which of them no host sends on.')
+    .description('Show the requests that were running when targets exited, and which of them are quarantined.')
     .addHelpText('after', formatExample('almondrelay quarantine --operator 10.1.1.11:8082'))
     .action(async (options: OperatorOptions) => {
       const requests = await fetchQuarantine(createClient(terminal, options.operator))
--- a/packages/almondrelay-cli/src/commands/createReleaseCommand.ts
+++ b/packages/almondrelay-cli/src/commands/createReleaseCommand.ts
@@ -9,8 +9,8 @@
 /** `almondrelay release`: ends the quarantine of a request. */
 export function createReleaseCommand (terminal: Terminal): Command {
   return addOperatorOptions(new Command('release'))
-    .description('End the quarantine of a request at all hosts, as after its targets were mended.')
-    .argument('<fingerprint>', 'as almondrelay quarantine shows it')
+    .description('End the quarantine of a request at all hosts, for example once its targets have been fixed.')
+    .argument('<fingerprint>', 'fingerprint of the request, as shown by almondrelay quarantine')
     .addHelpText('after', formatExample('almondrelay release 5f1c0a9be2d34477a1b2c3d4e5f60718 --operator 10.1.1.11:8082'))
     .action(async (fingerprint: string, options: OperatorOptions) => {
       await releaseRequest(createClient(terminal, options.operator), fingerprint)
--- a/packages/almondrelay-cli/src/commands/createReplayCommand.ts
+++ b/packages/almondrelay-cli/src/commands/createReplayCommand.ts
@@ -9,11 +9,11 @@
 
 const MAX_SHOWN = 20
 
-/** `almondrelay replay`: recorded decisions, made again and compared. */
+/** `almondrelay replay`: repeats recorded decisions and compares the results. */
 export function createReplayCommand (terminal: Terminal): Command {
   return new Command('replay')
-    .description('Run recorded decisions again through the modules of this version and compare line by line. A trace is the log of a host whose settings have log.replay.')
-    .argument('<trace...>', 'log files, each host\'s lines in their order')
+    .description('Repeat recorded decisions with the modules of this version and compare the results line by line. A trace is the log of a host whose settings have log.replay.')
+    .argument('<trace...>', 'log files, with the lines of each host in order')
     .addOption(new Option('--output <format>', 'table for people, json for programs').choices(Object.values(OutputFormat)).default(OutputFormat.table))
     .addHelpText('after', formatExample('almondrelay replay akl-a-1.log'))
     .action(async (files: string[], options: { output: OutputFormat }) => {
@@ -44,7 +44,7 @@
   ...Object.entries(summary.passed).map(([reason, count]) => `${count} not replayed, ${reason}`)
 ].join('\n')
 
-// A trace of which nothing could be run again proves nothing, so it is no success.
+// If no line of the trace could be replayed, nothing was verified, so the command fails.
 const chooseExitCode = (summary: ReplaySummary): ExitCode => {
   if (summary.different > 0) return ExitCode.different
   return summary.same > 0 ? ExitCode.ok : ExitCode.failed
--- a/packages/almondrelay-cli/src/commands/createReportCommand.ts
+++ b/packages/almondrelay-cli/src/commands/createReportCommand.ts
@@ -20,21 +20,21 @@
 
 const DEFAULT_SPAN_MS = 86_400_000
 
-/** `almondrelay report`: the account as one page with pictures. */
+/** `almondrelay report`: writes the account as an HTML page with charts. */
 export function createReportCommand (terminal: Terminal): Command {
   return new Command('report')
-    .description('Write the account as one page of HTML with pictures: load by region against its capacity, refusals by reason, shifts against their caps.')
-    .requiredOption('--output <file>', 'file of HTML to write')
-    .option('--since <time>', 'first minute: ISO 8601, or how long ago as in 90m, 24h, 7d; a day before --until without it', (text) => parseTime(text, Date.now()))
-    .option('--until <time>', 'last minute, the same; now without it', (text) => parseTime(text, Date.now()))
-    .option('--operator <ip:port...>', 'operator port of a host (or ALMONDRELAY_OPERATOR, with commas)')
+    .description('Write the account as an HTML page with charts: load by region against its capacity, refusals by reason, shifts against their caps.')
+    .requiredOption('--output <file>', 'HTML file to write')
+    .option('--since <time>', 'first minute: ISO 8601, or how long ago, such as 90m, 24h or 7d (default: a day before --until)', (text) => parseTime(text, Date.now()))
+    .option('--until <time>', 'last minute, in the same formats (default: now)', (text) => parseTime(text, Date.now()))
+    .option('--operator <ip:port...>', 'operator ports of hosts (or ALMONDRELAY_OPERATOR, separated by commas)')
     .addHelpText('after', formatExample('almondrelay report --since 24h --output yesterday.html --operator 10.1.1.11:8082'))
     .action(async (options: ReportOptions) => {
       const until = options.until ?? Date.now()
       const data = await fetchData(createClient(terminal, options.operator), options.since ?? until - DEFAULT_SPAN_MS, until)
       const page = await renderReport(data)
       await writeFile(options.output, page).catch((error: Error) => {
-        throw new AlmondrelayError({ kind: ErrorKind.requestInvalid, message: `${options.output} can't be written (${error.message})`, remedy: 'name a file in a folder that you may write', cause: error })
+        throw new AlmondrelayError({ kind: ErrorKind.requestInvalid, message: `${options.output} can't be written (${error.message})`, remedy: 'name a file in a folder that you can write to', cause: error })
       })
       terminal.writeLine(`${options.output}: ${page.length} bytes, from ${data.account.pages} pages`)
     })
--- a/packages/almondrelay-cli/src/commands/createStatusCommand.ts
+++ b/packages/almondrelay-cli/src/commands/createStatusCommand.ts
@@ -8,10 +8,10 @@
 import { formatExample } from './formatExample.js'
 import type { OperatorOptions } from './operatorOptions.js'
 
-/** `almondrelay status`: hosts, revisions in force, drains and caps. */
+/** `almondrelay status`: shows hosts, revisions in force, drains and caps. */
 export function createStatusCommand (terminal: Terminal): Command {
   return addOperatorOptions(new Command('status'))
-    .description('Show hosts, the revision in force by availability zone, drains with what is left, caps with what is carried, and who can\'t be reached.')
+    .description('Show hosts, the revision in force by availability zone, drains with the requests left, caps with the requests in flight, and unreachable hosts.')
     .addHelpText('after', formatExample('almondrelay status --operator 10.1.1.11:8082'))
     .action(async (options: OperatorOptions) => {
       const status = await fetchStatus(createClient(terminal, options.operator))
--- a/packages/almondrelay-cli/src/commands/createWatchCommand.ts
+++ b/packages/almondrelay-cli/src/commands/createWatchCommand.ts
@@ -25,10 +25,10 @@
 const POLL_MS = 250
 const DEFAULT_TIMEOUT_MS = 60_000
 
-/** `almondrelay watch`: follows resources until what is asked holds. */
+/** `almondrelay watch`: follows resources until a goal is reached. */
 export function createWatchCommand (terminal: Terminal): Command {
   return addOperatorOptions(new Command('watch'))
-    .description('Follow the resources of a kind, or one of them, until what is asked holds.')
+    .description('Follow the resources of a kind, or one of them, until a goal is reached.')
     .argument('<kind>', 'Service, Region, Link, SteeringPolicy, Drain or ShiftCap')
     .argument('[name]', 'name of one resource')
     .addOption(new Option('--until <goal>', 'in-force: everywhere that can be reached; drained: no work is left').choices(Object.values(WatchGoal)).default(WatchGoal.inForce))
@@ -47,21 +47,21 @@
     const code = await lookOnce(terminal, client, kind, name, options, shown)
     if (code !== undefined) return code
     if (performance.now() >= until) {
-      terminal.writeError(`${options.until} did not hold within ${options.timeout} ms; what holds it back stands above, or in almondrelay status`)
+      terminal.writeError(`${options.until} was not reached within ${options.timeout} ms; the lines above and almondrelay status show what is missing`)
       return ExitCode.timeout
     }
     await sleep(POLL_MS, undefined, { signal: terminal.signal })
   }
 }
 
-// The code to end with; undefined while what is asked does not hold yet.
+// Returns the exit code; undefined while the goal is not reached.
 const lookOnce = async (terminal: Terminal, client: OperatorClient, kind: ResourceKind, name: string | undefined, options: WatchOptions, shown: Map<string, string>): Promise<ExitCode | undefined> => {
   const resources = name === undefined ? await fetchResources(client, kind) : [await fetchResource(client, kind, name)]
   const status = await fetchStatus(client)
   let reached = true
   for (const resource of resources) {
     if (resource === undefined) {
-      terminal.writeError(`${kind}/${name} does not exist; see what there is with almondrelay get ${kind}`)
+      terminal.writeError(`${kind}/${name} does not exist; list the existing ones with almondrelay get ${kind}`)
       return ExitCode.absent
     }
     const state = decideWatch(options.until, resource, status)
--- a/packages/almondrelay-cli/src/commands/decideWatch.ts
+++ b/packages/almondrelay-cli/src/commands/decideWatch.ts
@@ -6,7 +6,7 @@
 import { WatchGoal } from './watchGoal.js'
 import type { WatchState } from './watchState.js'
 
-/** Whether a resource is where the operator wants it, and how far it is, in words. */
+/** Decides whether a resource has reached the goal, and describes its progress. */
 export function decideWatch (goal: WatchGoal, resource: ShownResource, status: HostStatus): WatchState {
   const reach = computeReach(status, resource.revision)
   return match(goal)
@@ -17,6 +17,6 @@
 
 const describeDrain = (resource: ShownResource): string => {
   const { workLeft, message } = resource.status ?? {}
-  const left = workLeft === undefined ? 'what is left is not known' : `${workLeft} requests left`
+  const left = workLeft === undefined ? 'number of requests left unknown' : `${workLeft} requests left`
   return `${workLeft === 0 ? 'drained' : 'draining'}, ${left}${message === undefined ? '' : ` (${message})`}`
 }
--- a/packages/almondrelay-cli/src/commands/exitCodeByOutcome.ts
+++ b/packages/almondrelay-cli/src/commands/exitCodeByOutcome.ts
@@ -1,6 +1,6 @@
 import { ExitCode } from '../common/exitCode.js'
 
-/** The exit code of a write by what became of it. */
+/** Exit codes by the outcome of a write. */
 export const exitCodeByOutcome = {
   accepted: ExitCode.ok,
   unchanged: ExitCode.ok,
--- a/packages/almondrelay-cli/src/commands/formatExample.ts
+++ b/packages/almondrelay-cli/src/commands/formatExample.ts
@@ -1,4 +1,4 @@
-/** The closing part of a command's help. */
+/** Formats the examples at the end of a command's help. */
 export function formatExample (...lines: string[]): string {
   return ['', lines.length === 1 ? 'Example:' : 'Examples:', ...lines.map((line) => `  $ ${line}`)].join('\n')
 }
--- a/packages/almondrelay-cli/src/commands/operatorOptions.ts
+++ b/packages/almondrelay-cli/src/commands/operatorOptions.ts
@@ -1,6 +1,6 @@
 import type { OutputFormat } from '../output/outputFormat.js'
 
-/** What addOperatorOptions gives a command. */
+/** Values of the options that addOperatorOptions adds. */
 export interface OperatorOptions {
   operator?: string[]
   output: OutputFormat
--- a/packages/almondrelay-cli/src/commands/parseWhole.ts
+++ b/packages/almondrelay-cli/src/commands/parseWhole.ts
@@ -1,6 +1,6 @@
 import { InvalidArgumentError } from 'commander'
 
-/** A whole number from 0 in an option, such as a time in milliseconds. */
+/** Parses an option that is a whole number from 0, such as a time in milliseconds. */
 export function parseWhole (text: string): number {
   if (!/^\d{1,12}$/.test(text)) throw new InvalidArgumentError('Write a whole number, such as 5000.')
   return Number(text)
--- a/packages/almondrelay-cli/src/commands/watchGoal.ts
+++ b/packages/almondrelay-cli/src/commands/watchGoal.ts
@@ -1,4 +1,4 @@
-/** What `almondrelay watch` can wait for. */
+/** Goals that `almondrelay watch` can wait for. */
 const WatchGoal = {
   inForce: 'in-force',
   drained: 'drained'
--- a/packages/almondrelay-cli/src/commands/watchState.ts
+++ b/packages/almondrelay-cli/src/commands/watchState.ts
@@ -1,4 +1,4 @@
-/** How far a watched resource is. */
+/** Progress of a watched resource towards its goal. */
 export interface WatchState {
   reached: boolean
   text: string
--- a/packages/almondrelay-cli/src/common/exitCode.ts
+++ b/packages/almondrelay-cli/src/common/exitCode.ts
@@ -1,8 +1,8 @@
 /** Exit codes of both programs; `almondrelay --help` lists them. */
 const ExitCode = {
-  /** Done, or what was asked holds. */
+  /** Done, or the awaited state holds. */
   ok: 0,
-  /** An error that no other code stands for. */
+  /** Any error without a code of its own. */
   failed: 1,
   /** A wrong command line or wrong settings; nothing was started or sent. */
   usage: 2,
@@ -10,13 +10,13 @@
   rejected: 3,
   /** Another write came first; this one was not stored. */
   conflict: 4,
-  /** Whether the write was stored is not known; the message names its write id. */
+  /** It is not known whether the write was stored; the message gives its write id. */
   unknown: 5,
   /** No host given with --operator could be reached. */
   unreachable: 6,
-  /** The time limit passed before what was asked held. */
+  /** The time limit passed before the awaited state held. */
   timeout: 7,
-  /** What was asked for does not exist. */
+  /** The resource, request or write does not exist. */
   absent: 8,
   /** A replayed decision differs from the recorded one. */
   different: 9
--- a/packages/almondrelay-cli/src/common/exitCodeByKind.ts
+++ b/packages/almondrelay-cli/src/common/exitCodeByKind.ts
@@ -1,7 +1,7 @@
 import { ErrorKind } from 'almondrelay'
 import { ExitCode } from './exitCode.js'
 
-/** The exit code of a command that ends with an error of this kind; ExitCode.failed for the others. */
+/** Exit codes by the kind of error that ends a command; ExitCode.failed applies to kinds that are not listed. */
 export const exitCodeByKind: Partial<Record<ErrorKind, ExitCode>> = {
   [ErrorKind.settingsInvalid]: ExitCode.usage,
   [ErrorKind.requestInvalid]: ExitCode.usage,
--- a/packages/almondrelay-cli/src/common/parseArguments.ts
+++ b/packages/almondrelay-cli/src/common/parseArguments.ts
@@ -2,8 +2,8 @@
 import { ExitCode } from './exitCode.js'
 
 /**
- * Runs a command with the arguments after the program's name. A wrong command line gives
- * ExitCode.usage; commander has then written what is wrong.
+ * Runs a command with the arguments that follow the program's name. Returns ExitCode.usage for a wrong command line,
+ * which commander has then reported.
  */
 export async function parseArguments (command: Command, args: readonly string[]): Promise<ExitCode | undefined> {
   try {
--- a/packages/almondrelay-cli/src/common/terminal.ts
+++ b/packages/almondrelay-cli/src/common/terminal.ts
@@ -1,6 +1,6 @@
 import type { ExitCode } from './exitCode.js'
 
-/** What a command uses of the process around it. */
+/** The parts of the process that a command uses: output, exit code, environment and interrupt signal. */
 export interface Terminal {
   writeLine: (text: string) => void
   writeError: (text: string) => void
--- a/packages/almondrelay-cli/src/daemon/__tests__/almondrelayd.test.ts
+++ b/packages/almondrelay-cli/src/daemon/__tests__/almondrelayd.test.ts
@@ -22,13 +22,13 @@
   return { code, stdout, stderr }
 }
 
-test('--check of the commented example ends well', async () => {
+test('--check accepts the commented example', async () => {
   const result = await runProgram('--check', '--settings', EXAMPLE)
   assert.is(result.code, 0)
   assert.match(result.stdout, 'host akl-a-1 in akl-a')
 })
 
-test('wrong settings end with exit code 2 and the problem on stderr', async () => {
+test('invalid settings give exit code 2 and the problem on stderr', async () => {
   const folder = await mkdtemp(path.join(tmpdir(), 'almondrelayd-'))
   const file = path.join(folder, 'wrong.jsonc')
   await writeFile(file, '{\n  "hosts": {}\n}')
@@ -39,13 +39,13 @@
   assert.is(result.stdout, '')
 })
 
-test('a wrong command line ends with exit code 2', async () => {
+test('a wrong command line gives exit code 2', async () => {
   const result = await runProgram('--setings', EXAMPLE)
   assert.is(result.code, 2)
   assert.match(result.stderr, '--settings')
 })
 
-test('the daemon gets the settings, and its result becomes the exit code', async () => {
+test('the daemon receives the settings, and its result becomes the exit code', async () => {
   let given: HostSettings | undefined
   let code: number | undefined
   const command = createDaemonCommand({
@@ -58,7 +58,7 @@
   assert.is(code, 1)
 })
 
-test('the first signal is a planned stop, the second ends at once', () => {
+test('the first signal starts a planned stop, the second exits at once', () => {
   const source = new EventEmitter()
   const exits: number[] = []
   const lines: string[] = []
--- a/packages/almondrelay-cli/src/daemon/createDaemonCommand.ts
+++ b/packages/almondrelay-cli/src/daemon/createDaemonCommand.ts
@@ -3,7 +3,7 @@
 import { ExitCode } from '../common/exitCode.js'
 
 interface DaemonParts {
-  /** Serves until a planned stop is over; returns the exit code. */
+  /** Serves until a planned stop is complete; returns the exit code. */
   runDaemon: (settings: HostSettings) => Promise<number>
   writeLine: (text: string) => void
   setExitCode: (code: number) => void
@@ -21,24 +21,24 @@
 
 Signals:
   SIGTERM, SIGINT  planned stop: look-ups stop naming this host, work in flight is finished
-  a second one     ends at once
+  a second one     exits at once
 
 Exit codes:
-  ${ExitCode.ok}  planned stop with nothing cut off, or the settings are right
-  ${ExitCode.failed}  ended with work in flight, or an error while running
+  ${ExitCode.ok}  planned stop with nothing cut off, or the settings are valid
+  ${ExitCode.failed}  exited with work in flight, or an error while running
   ${ExitCode.usage}  wrong command line or wrong settings; nothing was started`
 
-/** The command line of almondrelayd. */
+/** Creates the command line of almondrelayd. */
 export function createDaemonCommand (parts: DaemonParts): Command {
   return new Command('almondrelayd')
     .description('Entry host: answers look-ups, forwards requests, serves the resource API.')
     .requiredOption('--settings <file>', 'settings of this host, JSON with comments')
-    .option('--check', 'check the settings and end')
+    .option('--check', 'check the settings and exit')
     .addHelpText('after', EXAMPLE)
     .exitOverride()
     .action(async (options: DaemonOptions) => {
       const settings = await loadSettings(options.settings)
-      if (options.check === true) parts.writeLine(`${options.settings}: right, for host ${settings.host.name} in ${settings.host.availabilityZone}`)
+      if (options.check === true) parts.writeLine(`${options.settings}: valid, for host ${settings.host.name} in ${settings.host.availabilityZone}`)
       else parts.setExitCode(await parts.runDaemon(settings))
     })
 }
--- a/packages/almondrelay-cli/src/daemon/watchStopSignals.ts
+++ b/packages/almondrelay-cli/src/daemon/watchStopSignals.ts
@@ -8,8 +8,8 @@
 }
 
 /**
- * A signal that aborts at the first SIGTERM or SIGINT, which is the planned stop. A second
- * one ends the process at once.
+ * Returns a signal that aborts at the first SIGTERM or SIGINT, which starts the planned stop. A second SIGTERM or SIGINT
+ * ends the process at once.
  */
 export function watchStopSignals (source: EventEmitter, handlers: StopHandlers): AbortSignal {
   const stop = new AbortController()
--- a/packages/almondrelay-cli/src/explain/__tests__/explain.test.ts
+++ b/packages/almondrelay-cli/src/explain/__tests__/explain.test.ts
@@ -14,7 +14,7 @@
 ].join('\n'))
 const second = writeTemporary(makeLine('2026-03-04T09:00:00.005Z', 'wlg-a-1', 'choice', {}, { target: 'b1', reason: 'least-expected-wait', score: 0.5 }))
 
-test('one request\'s story over two hosts, in order of time and plain words', async () => {
+test('the decisions of two hosts about one request are described in order of time', async () => {
   const result = await runWith(['explain', 'r1', '--log', first, second])
   assert.is(result.code, 0, result.stderr)
   assert.equal(result.stdout.trim().split('\n').map((line) => line.slice(26)), [
@@ -30,7 +30,7 @@
   assert.match(result.stdout, 'answered: not-run with status 503, because of queue-full, after 1 ms')
 })
 
-test('a request at a host of the users\' platform: where it belonged, each target, the answer', async () => {
+test('a request line of the gateway is described with its placement, each attempt and the answer', async () => {
   const log = writeTemporary([
     JSON.stringify({ name: 'almondrelayd', host: 'akl-a-1', msg: 'request', time: '2026-03-04T09:00:00.009Z', id: '9c41', route: 'r-1', version: 7, key: '17', service: 'balances', homeRegion: 'akl', attempts: [{ target: 'i-1', region: 'akl', rank: 0, outstanding: 3, expectedMs: 110, result: 'broken: ECONNRESET', ms: 40 }, { target: 'i-2', region: 'akl', rank: 1, outstanding: 1, expectedMs: 310, result: 'answered 200', ms: 120 }], outcome: '200', ms: 163 }),
     JSON.stringify({ name: 'almondrelayd', host: 'akl-a-1', msg: 'request rejected', time: '2026-03-04T09:00:00.019Z', id: '9c42', status: 404, reason: 'no route', version: 7 })
@@ -42,7 +42,7 @@
   assert.match(rejected.stdout, 'no target asked; answered 404, because of: no route')
 })
 
-test('a refusal for an organisation\'s allowance names the organisation and how much of its requests got through', async () => {
+test('a refusal over an organisation\'s allowance names the organisation and the share of its requests that was admitted', async () => {
   const log = writeTemporary([
     JSON.stringify({ name: 'almondrelayd', host: 'akl-a-1', msg: 'request refused', time: '2026-03-04T09:00:00.019Z', id: '9c43', route: 'r-1', version: 7, organisation: 'school', allowedPart: 0.254, kind: 'refused', cause: 'over-allowance', reason: 'the organisation has had its allowance of 20 requests a second' }),
     JSON.stringify({ name: 'almondrelayd', host: 'akl-a-1', msg: 'request rejected', time: '2026-03-04T09:00:00.020Z', id: '9c44', status: 401, reason: 'no key of an organisation', version: 7 })
@@ -53,7 +53,7 @@
   assert.match(unknown.stdout, 'no target asked; answered 401, because of: no key of an organisation')
 })
 
-test('a request of which nothing is logged has its own exit code and a remedy', async () => {
+test('a request that is not in the logs gives its own exit code and a remedy', async () => {
   const result = await runWith(['explain', 'r3', '--log', first])
   assert.is(result.code, 8)
   assert.match(result.stderr, 'give the logs of every host')
--- a/packages/almondrelay-cli/src/explain/describeDecision.ts
+++ b/packages/almondrelay-cli/src/explain/describeDecision.ts
@@ -5,7 +5,7 @@
 
 type Fields = Record<string, unknown>
 
-/** One decision in plain words. */
+/** Describes one decision in plain words. */
 export function describeDecision (line: TraceLine): string {
   const input = toFields(line.input)
   const output = toFields(line.output)
@@ -14,7 +14,7 @@
     .with('placement', () => output.kind === 'refuse' ? `nowhere to run it: ${describeRefusal(output)}` : `where to run it, best first: ${formatZones(output.zones)}`)
     .with('admission', () => describeAdmission(input, output))
     .with('choice', () => line.output === null ? 'no target may take work now' : `target ${String(output.target)} chosen (${String(output.reason)}); ${formatFields(filterFields(output, 'target', 'reason'))}`)
-    .with('retry', () => output.kind === 'retry' ? `tried again, since the attempt ended as ${String(input.outcome)}` : `not tried again: ${String(output.reason)}`)
+    .with('retry', () => output.kind === 'retry' ? `retried, because the attempt ended as ${String(input.outcome)}` : `not retried: ${String(output.reason)}`)
     .with('request', () => describeRequest(line.input as RequestLine))
     .with('answer', () => `answered: ${describeAnswer(output)}`)
     .otherwise(() => `${line.decision}: ${formatFields(input)} gave ${formatFields(output)}`)
@@ -29,7 +29,7 @@
     .otherwise(() => `queue: ${formatFields(output)}`)
 }
 
-const describeRefusal = (output: Fields): string => `${String(output.reason)}, come back after ${String(output.retryAfterMs)} ms`
+const describeRefusal = (output: Fields): string => `${String(output.reason)}, retry after ${String(output.retryAfterMs)} ms`
 
 const describeAnswer = (output: Fields): string => {
   const target = output.target === '' || output.target === undefined ? '' : ` by target ${String(output.target)}`
--- a/packages/almondrelay-cli/src/explain/describeRequest.ts
+++ b/packages/almondrelay-cli/src/explain/describeRequest.ts
@@ -1,6 +1,6 @@
 import type { RequestLine } from '../trace/requestLine.js'
 
-/** What one request went through at a host, in plain words: where it belonged, each target that was asked, the answer. */
+/** Describes in plain words how a host handled one request: its placement, each attempt at a target, the answer. */
 export function describeRequest (line: RequestLine): string {
   const version = line.version === undefined ? '' : ` of version ${line.version}`
   const route = line.route === undefined ? '' : `route ${line.route}${version}, `
--- a/packages/almondrelay-cli/src/output/describeReach.ts
+++ b/packages/almondrelay-cli/src/output/describeReach.ts
@@ -1,6 +1,6 @@
 import type { RevisionReach } from '../client/revisionReach.js'
 
-/** Where a revision is in force, in words. */
+/** Describes where a revision is in force. */
 export function describeReach (revision: number, reach: RevisionReach): string {
   const unreachable = reach.unreachable.length === 0 ? '' : `; can't be reached, so not known: ${reach.unreachable.join(', ')}`
   const holds = reach.inForce ? `in force in ${reach.zones} availability zones` : `not yet in force everywhere, behind: ${reach.lagging.join(', ') || 'the host that was asked'}`
--- a/packages/almondrelay-cli/src/output/describeWrite.ts
+++ b/packages/almondrelay-cli/src/output/describeWrite.ts
@@ -1,7 +1,7 @@
 import { match } from 'ts-pattern'
 import type { WriteOutcome } from '../client/writeOutcome.js'
 
-/** What became of a write, in words, with what to do next. */
+/** Describes the outcome of a write and what to do next. */
 export function describeWrite (resource: string, result: WriteOutcome): string {
   return match(result)
     .with({ outcome: 'accepted' }, ({ revision }) => `${resource}: accepted as revision ${revision}`)
--- a/packages/almondrelay-cli/src/output/formatResources.ts
+++ b/packages/almondrelay-cli/src/output/formatResources.ts
@@ -3,7 +3,7 @@
 
 const MAX_CELL = 60
 
-/** Resources as a table; a single one with its whole spec and status below. */
+/** Formats resources as a table; with `withDetails`, the complete spec and status of each follow. */
 export function formatResources (resources: readonly ShownResource[], whole: boolean): string {
   const table = formatTable(['kind', 'name', 'revision', 'status'], resources.map((each) => [each.kind, each.name, each.revision, limitLength(formatFields(each.status))]))
   if (!whole) return table
--- a/packages/almondrelay-cli/src/output/formatStatus.ts
+++ b/packages/almondrelay-cli/src/output/formatStatus.ts
@@ -1,7 +1,7 @@
 import type { HostStatus } from '../client/hostStatus.js'
 import { formatTable } from './formatTable.js'
 
-/** The status of the deployment for people. */
+/** Formats the status of the deployment as tables for people. */
 export function formatStatus (status: HostStatus): string {
   const countBehind = (revision: number | undefined): number | string => revision === undefined ? '' : Math.max(0, status.revision - revision)
   const zones = formatTable(['availability zone', 'hosts', 'revision', 'behind', 'known since ms'], status.availabilityZones.map((zone) => [zone.availabilityZone, zone.reachableHosts, zone.revision ?? 'unknown', countBehind(zone.revision), zone.knownAgeMs]))
--- a/packages/almondrelay-cli/src/output/formatTable.ts
+++ b/packages/almondrelay-cli/src/output/formatTable.ts
@@ -1,4 +1,4 @@
-/** Rows under a line of headings, in columns two spaces apart; numbers stand right. */
+/** Formats rows under a line of headings, in columns two spaces apart; numeric columns are aligned right. */
 export function formatTable (headings: readonly string[], rows: ReadonlyArray<ReadonlyArray<string | number>>): string {
   const texts = rows.map((row) => row.map(String))
   const widths = headings.map((heading, column) => Math.max(heading.length, ...texts.map((row) => row[column]?.length ?? 0)))
--- a/packages/almondrelay-cli/src/output/outputFormat.ts
+++ b/packages/almondrelay-cli/src/output/outputFormat.ts
@@ -1,4 +1,4 @@
-/** How a command prints: tables for people, JSON for programs. */
+/** Output formats of a command: tables for people, JSON for programs. */
 const OutputFormat = {
   table: 'table',
   json: 'json'
--- a/packages/almondrelay-cli/src/replay/__tests__/replay.test.ts
+++ b/packages/almondrelay-cli/src/replay/__tests__/replay.test.ts
@@ -6,7 +6,7 @@
 
 const runReplay = async (lines: readonly string[]) => runWith(['replay', writeTemporary(lines.join('\n'))])
 
-test('a recorded burst is decided again as it was, line by line', async () => {
+test('replaying a recorded burst gives the same decisions, line by line', async () => {
   for (const seed of [1, 2, 3]) {
     const lines = recordBurst(seed)
     const result = await runReplay(lines)
@@ -17,7 +17,7 @@
   }
 })
 
-test('a decision that is made otherwise now is shown, with its own exit code', async () => {
+test('a decision that differs from the recorded one is shown, with its own exit code', async () => {
   const lines = recordBurst(1)
   const index = lines.findIndex((line) => line.includes('"target":"a"') && line.includes('"choose"'))
   const result = await runReplay(lines.map((line, each) => each === index ? line.replace('"target":"a"', '"target":"b"') : line))
@@ -26,23 +26,23 @@
   assert.match(result.stdout, '1 different')
 })
 
-test('a changed input is a difference too', async () => {
+test('a changed input is reported as a difference too', async () => {
   const lines = recordBurst(2)
   const index = lines.findIndex((line) => line.includes('"choosePlacement"'))
   const result = await runReplay(lines.map((line, each) => each === index ? line.replace('"latencyMs":1}', '"latencyMs":7}') : line))
   assert.is(result.code, 9)
 })
 
-// The log was cut: the trace begins after the queue was made. Replayed on an empty queue the
-// decisions would differ, and a sound module would be called faulty.
-test('a trace that begins in the middle is said to be so, and is no success', async () => {
+// Guards against false differences when the log was cut and the trace begins after the queue was created: replayed on an
+// empty queue, the decisions would differ although the module is correct.
+test('a trace without its beginning is reported as such, and the command fails', async () => {
   const lines = recordBurst(1).filter((line) => !line.includes('"create"') && line.includes('"admission"'))
   const result = await runReplay(lines)
   assert.is(result.code, 1)
   assert.match(result.stdout, `${lines.length} not replayed, admission: the trace begins after`)
 })
 
-test('lines without every input, other lines and broken ones are passed over and counted', async () => {
+test('lines without all inputs are skipped and counted, other and broken lines are ignored', async () => {
   const lines = [...recordBurst(1), '{"msg":"host started"}', '{"decision":"placement","requestId":"r","input":{"service":"x"},"output":{}}', '{"decision":"answer","input":{},"output":{}}', '{"decision":"pla']
   const result = await runReplay(lines)
   assert.is(result.code, 0)
@@ -50,7 +50,7 @@
   assert.match(result.stdout, '1 not replayed, answer: no module decides this kind alone')
 })
 
-test('a file that is absent is a usage error', async () => {
+test('a missing file is a usage error', async () => {
   assert.is((await runWith(['replay', '/nowhere.log'])).code, 2)
 })
 
--- a/packages/almondrelay-cli/src/replay/__tests__/traces.test.ts
+++ b/packages/almondrelay-cli/src/replay/__tests__/traces.test.ts
@@ -6,10 +6,11 @@
 
 const FOLDER = new URL('../../../src/replay/__fixtures__/', import.meta.url)
 
-// Traces of one host (akl-a-1 of Kowhai's smallest size, 12 requests a second): in peace, while region wlg's hosts
-// are killed, and while the platform refuses every call. A change that makes it decide otherwise shows here, line by line.
+// Traces of one host (akl-a-1 of the Kowhai deployment in its smallest size, 12 requests a second): in normal operation, while
+// the hosts of region wlg are killed, and while the platform refuses every call. Guards against unintended changes of
+// decisions: a host that decides differently shows here, line by line.
 for (const name of ['peace', 'regionLoss', 'platformOutage']) {
-  test(`the recorded trace ${name} is decided again as it was`, async () => {
+  test(`replaying the recorded trace ${name} gives the same decisions`, async () => {
     const file = fileURLToPath(new URL(`${name}.jsonl`, FOLDER))
     const lines = readFileSync(file, 'utf8').trim().split('\n').length
     const result = await runWith(['replay', file])
--- a/packages/almondrelay-cli/src/replay/admissionReplayer.ts
+++ b/packages/almondrelay-cli/src/replay/admissionReplayer.ts
@@ -4,7 +4,7 @@
 import type { ReplayRandom } from './replayRandom.js'
 import { UNKNOWN_STATE } from './unknownState.js'
 
-/** Replays what admission queues decided. */
+/** Replays the decisions of admission queues. */
 export class AdmissionReplayer extends Replayer {
   private readonly queues = new Map<string, AdmissionQueue>()
 
--- a/packages/almondrelay-cli/src/replay/choiceReplayer.ts
+++ b/packages/almondrelay-cli/src/replay/choiceReplayer.ts
@@ -4,7 +4,7 @@
 import type { ReplayRandom } from './replayRandom.js'
 import { UNKNOWN_STATE } from './unknownState.js'
 
-/** Replays what target choosers decided. */
+/** Replays the decisions of target choosers. */
 export class ChoiceReplayer extends Replayer {
   private readonly choosers = new Map<string, TargetChooser>()
 
--- a/packages/almondrelay-cli/src/replay/lineVerdict.ts
+++ b/packages/almondrelay-cli/src/replay/lineVerdict.ts
@@ -1,6 +1,6 @@
-/** What replaying one line showed. */
+/** Result of replaying one line of a trace. */
 export type LineVerdict =
   | { kind: 'same' }
   | { kind: 'different', found: unknown }
-  /** The line can't be run again, for the reason given. */
+  /** The line can't be replayed, for the reason given. */
   | { kind: 'passed', reason: string }
--- a/packages/almondrelay-cli/src/replay/lookupReplayer.ts
+++ b/packages/almondrelay-cli/src/replay/lookupReplayer.ts
@@ -3,7 +3,7 @@
 import type { ReplayRandom } from './replayRandom.js'
 import { UNKNOWN_STATE } from './unknownState.js'
 
-/** Replays the weights of hosts in the answers to look-ups. */
+/** Replays the computation of answers to look-ups: the hosts and their weights. */
 export class LookupReplayer extends Replayer {
   constructor (private readonly random: ReplayRandom) {
     super()
--- a/packages/almondrelay-cli/src/replay/placementReplayer.ts
+++ b/packages/almondrelay-cli/src/replay/placementReplayer.ts
@@ -3,7 +3,7 @@
 import type { ReplayRandom } from './replayRandom.js'
 import { UNKNOWN_STATE } from './unknownState.js'
 
-/** Replays in which order availability zones were to be tried. */
+/** Replays placement decisions: the order in which availability zones are tried. */
 export class PlacementReplayer extends Replayer {
   constructor (private readonly random: ReplayRandom) {
     super()
--- a/packages/almondrelay-cli/src/replay/replayRandom.ts
+++ b/packages/almondrelay-cli/src/replay/replayRandom.ts
@@ -1,6 +1,6 @@
 import type { Random } from 'almondrelay'
 
-/** A source of chance that gives recorded draws again. */
+/** A random source that returns recorded draws. */
 export class ReplayRandom {
   readonly draw: Random = () => this.takeDraw()
   private draws: readonly number[] = []
@@ -11,7 +11,7 @@
     this.position = 0
   }
 
-  /** Draws that were recorded and not asked for. */
+  /** Returns the number of recorded draws that were not used. */
   countLeft (): number {
     return this.draws.length - this.position
   }
@@ -19,7 +19,7 @@
   private takeDraw (): number {
     const drawn = this.draws[this.position]
     this.position += 1
-    if (drawn === undefined) throw new RangeError('the module draws more chance than it did when it was recorded')
+    if (drawn === undefined) throw new RangeError('the module draws more random numbers than were recorded')
     return drawn
   }
 }
--- a/packages/almondrelay-cli/src/replay/replaySummary.ts
+++ b/packages/almondrelay-cli/src/replay/replaySummary.ts
@@ -3,6 +3,6 @@
   lines: number
   same: number
   different: number
-  /** Lines that could not be run again, by kind and reason. */
+  /** Number of lines that could not be replayed, by kind of decision and reason. */
   passed: Record<string, number>
 }
--- a/packages/almondrelay-cli/src/replay/replayer.ts
+++ b/packages/almondrelay-cli/src/replay/replayer.ts
@@ -1,10 +1,10 @@
 import type { RecordedCall } from 'almondrelay'
 
-/** Makes recorded calls to the modules of one kind of decision again. */
+/** Repeats recorded calls to the modules of one kind of decision. */
 export abstract class Replayer {
   /**
-   * The result of the call, made now; UNKNOWN_STATE where the trace does not hold how the
-   * instance came to be.
+   * Returns the result of repeating the call; UNKNOWN_STATE if the trace does not contain the creation of the instance, or
+   * the call is unknown.
    */
   abstract replay (call: RecordedCall): unknown
 }
--- a/packages/almondrelay-cli/src/replay/replayerRegistry.ts
+++ b/packages/almondrelay-cli/src/replay/replayerRegistry.ts
@@ -6,7 +6,7 @@
 import type { Replayer } from './replayer.js'
 import type { ReplayRandom } from './replayRandom.js'
 
-/** The replayers by kind of decision; a kind without one is counted as not replayed. */
+/** Replayers by kind of decision. Decisions of a kind without a replayer are counted as not replayed. */
 export class ReplayerRegistry {
   private readonly replayers: ReadonlyMap<string, Replayer>
 
--- a/packages/almondrelay-cli/src/replay/traceReplay.ts
+++ b/packages/almondrelay-cli/src/replay/traceReplay.ts
@@ -6,7 +6,7 @@
 import { ReplayRandom } from './replayRandom.js'
 import { UNKNOWN_STATE } from './unknownState.js'
 
-/** Runs the lines of a trace again, in their order, through the modules that wrote them. */
+/** Replays the lines of a trace, in their order, with the modules that made the decisions. */
 export class TraceReplay {
   private readonly random = new ReplayRandom()
   private readonly registry = new ReplayerRegistry(this.random)
@@ -25,7 +25,7 @@
       const found = run()
       if (found === UNKNOWN_STATE) return { kind: 'passed', reason: 'the trace begins after the module was made, or this version knows no such call' }
       const left = this.random.countLeft()
-      if (left > 0) return { kind: 'different', found: `${left} recorded draws of chance were not used` }
+      if (left > 0) return { kind: 'different', found: `${left} recorded random numbers were not used` }
       return isDeepStrictEqual(toJson(found), line.output ?? null) ? { kind: 'same' } : { kind: 'different', found: toJson(found) }
     } catch (error) {
       return { kind: 'different', found: `error: ${(error as Error).message}` }
--- a/packages/almondrelay-cli/src/replay/unknownState.ts
+++ b/packages/almondrelay-cli/src/replay/unknownState.ts
@@ -1,2 +1,2 @@
-/** Stands for a result that can't be computed, because the trace begins after the instance was made. */
+/** Stands for a result that can't be computed: the trace begins after the instance was created, or the call is unknown. */
 export const UNKNOWN_STATE = Symbol('unknown state')
--- a/packages/almondrelay-cli/src/report/__tests__/report.test.ts
+++ b/packages/almondrelay-cli/src/report/__tests__/report.test.ts
@@ -12,7 +12,7 @@
 const MINUTE = 60_000
 const FIRST = 29_833_200
 
-/** Half an hour with a shift from akl to wlg in the middle, and refusals at its height. */
+/** Account of half an hour, with a shift from akl to wlg and refusals during the middle ten minutes. */
 const makeAccount = (): AccountReport => {
   const ledger = new AccountLedger({ host: 'akl-a-1', incarnation: 1 })
   const random = createSeededRandom(4)
@@ -35,26 +35,26 @@
   shiftCaps: [{ name: 'akl-to-wlg', from: 'akl', to: 'wlg', maxInFlight: 4 }]
 }
 
-test('load is the time that requests took, by region and minute', () => {
+test('load is the mean number of requests in flight, by region and minute', () => {
   const points = listLoad(data)
   assert.is(points.length, 60)
   assert.is(points.find(({ series }) => series === 'akl')?.value, 8)
   assert.is(points.find(({ series }) => series === 'wlg')?.value, 0)
 })
 
-test('a shift is what callers of one region ran in another', () => {
+test('a shift is the load of callers of one region in another', () => {
   const values = listShift(data).map(({ value }) => value)
   assert.is(values[0], 0)
   assert.ok((values[15] ?? 0) > 2 && (values[15] ?? 0) < 4)
 })
 
-test('refusals are counted by reason, and add up to those of the account', () => {
+test('the refusals by reason add up to those of the account', () => {
   const counted = listRefusals(data).reduce((sum, { value }) => sum + value, 0)
   const refused = data.account.minutes.flatMap((minute) => minute.rows).filter((row) => row.outcome !== 'run').reduce((sum, row) => sum + row.count, 0)
   assert.is(counted, refused)
 })
 
-test('the page has its pictures, needs nothing from elsewhere, and shows names as text', async () => {
+test('the page has its charts, loads no other resources, and escapes names', async () => {
   const fake = await FakeOperator.start()
   fake.pages = data.account
   data.regions.forEach(({ name, maxInFlight }) => fake.resources.set(`Region/${name}`, { kind: 'Region', name, revision: 1, spec: { availabilityZones: [`${name}-a`], maxInFlight } }))
@@ -70,7 +70,7 @@
   assert.not.match(page, '<b>school')
 })
 
-test('a span without requests gives a page that says so', async () => {
+test('a time span without requests gives a page that says so', async () => {
   const fake = await FakeOperator.start()
   fake.pages = { ...data.account, minutes: [], pages: 0 }
   const file = writeTemporary('')
--- a/packages/almondrelay-cli/src/report/buildBarChart.ts
+++ b/packages/almondrelay-cli/src/report/buildBarChart.ts
@@ -4,7 +4,7 @@
 const WIDTH = 760
 const HEIGHT = 240
 
-/** Bars by minute, stacked by series, over a span of milliseconds since the Unix epoch. */
+/** Builds a bar chart by minute, stacked by series; `span` is in milliseconds since the Unix epoch. */
 export function buildBarChart (points: readonly TimePoint[], span: readonly [number, number], valueTitle: string, seriesTitle: string): TopLevelSpec {
   return {
     width: WIDTH,
--- a/packages/almondrelay-cli/src/report/buildLineChart.ts
+++ b/packages/almondrelay-cli/src/report/buildLineChart.ts
@@ -4,14 +4,14 @@
 interface LineChart {
   points: TimePoint[]
   valueTitle: string
-  /** A broken line for each series, at its limit. */
+  /** Limits of the series, each drawn as a dashed line. */
   limits: Array<{ series: string, limit: number }>
 }
 
 const WIDTH = 760
 const HEIGHT = 220
 
-/** One small picture for each series, one above the other: its line by minute, and its limit. */
+/** Builds one small chart for each series, one above the other, with its values by minute and its limit. */
 export function buildLineChart ({ points, valueTitle, limits }: LineChart): TopLevelSpec {
   const limitOf = new Map(limits.map(({ series, limit }) => [series, limit]))
   return {
--- a/packages/almondrelay-cli/src/report/listLoad.ts
+++ b/packages/almondrelay-cli/src/report/listLoad.ts
@@ -3,7 +3,7 @@
 import type { ReportData } from './reportData.js'
 import type { TimePoint } from './timePoint.js'
 
-/** Load of each region by minute: requests in flight that its targets ran. */
+/** Lists the load of each region by minute: the mean number of requests in flight at its targets. */
 export function listLoad ({ account, regions }: ReportData): TimePoint[] {
   const names = new Set([...regions.map((region) => region.name), ...account.minutes.flatMap((minute) => minute.rows.map((row) => row.region))])
   names.delete('')
--- a/packages/almondrelay-cli/src/report/listMinutes.ts
+++ b/packages/almondrelay-cli/src/report/listMinutes.ts
@@ -8,7 +8,7 @@
 
 const MINUTE_MS = 60_000
 
-/** Every minute from the first that counted something to the last, idle ones too, so that a line goes down to 0 in them. */
+/** Lists every minute from the first to the last with requests, idle ones included, so that lines drop to 0 in idle minutes. */
 export function listMinutes (account: AccountReport): Minute[] {
   const rows = new Map(account.minutes.map((each) => [each.minute, each.rows]))
   const first = account.minutes[0]?.minute
--- a/packages/almondrelay-cli/src/report/listRefusals.ts
+++ b/packages/almondrelay-cli/src/report/listRefusals.ts
@@ -3,7 +3,7 @@
 import type { ReportData } from './reportData.js'
 import type { TimePoint } from './timePoint.js'
 
-/** Requests that were not run, or whose outcome is unknown, by minute and reason. */
+/** Lists the number of requests that were not run, or whose outcome is unknown, by minute and reason. */
 export function listRefusals ({ account }: ReportData): TimePoint[] {
   return listMinutes(account).flatMap(({ time, rows }) => {
     const counts = new Map<string, number>()
--- a/packages/almondrelay-cli/src/report/renderReport.ts
+++ b/packages/almondrelay-cli/src/report/renderReport.ts
@@ -14,10 +14,10 @@
 const MAX_ROWS = 50
 const STYLE = 'body{font:15px/1.5 system-ui,sans-serif;max-width:60rem;margin:2rem auto;padding:0 1rem;color:#222}table{border-collapse:collapse;margin:.5rem 0 1.5rem}th,td{padding:.2rem .8rem;border-bottom:1px solid #ddd;text-align:left}td.number{text-align:right;font-variant-numeric:tabular-nums}.gap{background:#fff4d6;padding:.5rem 1rem;border-left:4px solid #d99a00}svg{max-width:100%;height:auto}p.note{color:#555}'
 
-/** One page of HTML that needs nothing besides itself. */
+/** Renders the report as a self-contained HTML page. */
 export async function renderReport (data: ReportData): Promise<string> {
   const { account } = data
-  const title = `Who got what, ${formatTime(account.since)} to ${formatTime(account.until + 1)}`
+  const title = `Account of requests, ${formatTime(account.since)} to ${formatTime(account.until + 1)}`
   const parts = [
     `<h1>${title}</h1>`,
     renderGaps(data),
@@ -26,7 +26,7 @@
     '<h2>By service, region and outcome</h2>',
     renderTable(data, ['service', 'region', 'outcome']),
     '<h2>Load by region against its capacity</h2>',
-    '<p class="note">Requests in flight, mean of each minute; the broken line is what the region can carry. Shorter peaks are higher.</p>',
+    '<p class="note">Requests in flight, mean of each minute; the dashed line is the capacity of the region. Peaks shorter than a minute are higher.</p>',
     await renderLoad(data),
     '<h2>Refusals by reason</h2>',
     await renderRefusals(data),
@@ -53,13 +53,13 @@
   const points = listShift(data)
   if (points.length === 0) return renderNote('No shift cap is declared, or no requests were counted.')
   const chart = await renderChart(buildLineChart({ points, valueTitle: 'in flight', limits: data.shiftCaps.map(({ name, maxInFlight }) => ({ series: name, limit: maxInFlight })) }))
-  return `${renderNote('Requests in flight of callers of one region in another, mean of each minute; the broken line is the cap as it is declared now.')}\n${chart}`
+  return `${renderNote('Requests in flight of callers of one region in another, mean of each minute; the dashed line is the cap as declared now.')}\n${chart}`
 }
 
 const renderGaps = ({ account }: ReportData): string => {
   const gaps = describeGaps(account)
-  if (gaps.length === 0) return renderNote(`From ${account.pages} pages, with nothing known to be missing.`)
-  return `<div class="gap"><p>From ${account.pages} pages. Known of what they lack:</p><ul>${gaps.map((gap) => `<li>${formatHtml(gap)}</li>`).join('')}</ul></div>`
+  if (gaps.length === 0) return renderNote(`From ${account.pages} pages, with no known gaps.`)
+  return `<div class="gap"><p>From ${account.pages} pages. Known gaps:</p><ul>${gaps.map((gap) => `<li>${formatHtml(gap)}</li>`).join('')}</ul></div>`
 }
 
 const renderTable = ({ account }: ReportData, by: AccountDimension[]): string => {
--- a/packages/almondrelay-cli/src/report/reportData.ts
+++ b/packages/almondrelay-cli/src/report/reportData.ts
@@ -11,10 +11,10 @@
   service?: string
 }
 
-/** What a report is drawn from. */
+/** Data from which a report is rendered. */
 export interface ReportData {
   account: AccountReport
-  /** What each region can carry, as its resource says now. */
+  /** Capacity of each region, as declared now. */
   regions: Limit[]
   shiftCaps: ShiftLimit[]
 }
--- a/packages/almondrelay-cli/src/report/timePoint.ts
+++ b/packages/almondrelay-cli/src/report/timePoint.ts
@@ -1,4 +1,4 @@
-/** One value of one series in one minute. */
+/** Value of one series in one minute. */
 export interface TimePoint {
   /** Milliseconds since the Unix epoch. */
   time: number
--- a/packages/almondrelay-cli/src/resources/__tests__/parseResources.test.ts
+++ b/packages/almondrelay-cli/src/resources/__tests__/parseResources.test.ts
@@ -25,13 +25,13 @@
   assert.ok(texts.some((text) => text.startsWith('4 2.name: use 1 to 63 lower-case')))
 })
 
-test('a resource that stands twice and a file that is no list are refused', () => {
+test('a duplicate resource and a file that is not a list are refused', () => {
   const region = '{ "kind": "Region", "name": "akl", "spec": { "availabilityZones": ["akl-a"], "maxInFlight": 10 } }'
   assert.match(parseResources('r.jsonc', `[${region},\n${region}]`).problems[0]?.found ?? '', 'Region/akl a second time')
   assert.match(parseResources('r.jsonc', region).problems[0]?.remedy ?? '', 'a list in brackets')
 })
 
-test('what others name comes first, and caps before the policies they limit', () => {
+test('resources that others refer to come first, and caps before the policies they limit', () => {
   const make = (kind: 'Drain' | 'Service' | 'Region' | 'Link' | 'SteeringPolicy' | 'ShiftCap') => ({ kind, name: 'x', spec: {} })
   const sorted = sortByDependence([make('Drain'), make('SteeringPolicy'), make('ShiftCap'), make('Service'), make('Link'), make('Region')])
   assert.equal(sorted.map((each) => each.kind), ['Region', 'Link', 'Service', 'ShiftCap', 'SteeringPolicy', 'Drain'])
--- a/packages/almondrelay-cli/src/resources/declaredResource.ts
+++ b/packages/almondrelay-cli/src/resources/declaredResource.ts
@@ -5,7 +5,7 @@
 const DeclaredResource = z.strictObject({
   kind: z.enum(ResourceKind),
   name: ResourceName,
-  /** Write only over this revision; `almondrelay get` shows it. Without it, over the present one. */
+  /** Revision to replace, as shown by `almondrelay get`; the current revision if absent. */
   revision: z.number().int().min(0).optional(),
   spec: z.unknown()
 })
--- a/packages/almondrelay-cli/src/resources/loadResources.ts
+++ b/packages/almondrelay-cli/src/resources/loadResources.ts
@@ -4,7 +4,7 @@
 import { parseResources } from './parseResources.js'
 
 /**
- * The resources of several files.
+ * Loads the resources of several files.
  *
  * @throws AlmondrelayError of kind `resource-invalid` that lists every problem of every file.
  */
@@ -13,7 +13,7 @@
   const problems = parsed.flatMap((each) => each.problems)
   if (problems.length === 0) return parsed.flatMap((each) => each.resources)
   const lines = problems.map((problem) => `\n  ${formatFileProblem(problem)}`)
-  throw new AlmondrelayError({ kind: ErrorKind.resourceInvalid, message: `nothing was written${lines.join('')}\n`, remedy: 'mend the file and check it with almondrelay check -f <file>' })
+  throw new AlmondrelayError({ kind: ErrorKind.resourceInvalid, message: `nothing was written${lines.join('')}\n`, remedy: 'correct the file and check it with almondrelay check -f <file>' })
 }
 
 const loadText = async (file: string): Promise<string> => readFile(file, 'utf8').catch((error: Error) => {
--- a/packages/almondrelay-cli/src/resources/parseResources.ts
+++ b/packages/almondrelay-cli/src/resources/parseResources.ts
@@ -7,7 +7,7 @@
   problems: FileProblem[]
 }
 
-/** The resources in a text of JSON with comments, and what is wrong with it; needs no host. */
+/** Parses the resources in a text of JSON with comments and lists its problems; needs no host. */
 export function parseResources (file: string, text: string): ParsedResources {
   const document = new JsoncDocument(file, text)
   if (document.problems.length > 0) return { resources: [], problems: document.problems }
--- a/packages/almondrelay-cli/src/resources/sortByDependence.ts
+++ b/packages/almondrelay-cli/src/resources/sortByDependence.ts
@@ -1,7 +1,7 @@
 import { ResourceKind } from 'almondrelay'
 import type { DeclaredResource } from './declaredResource.js'
 
-// A policy, drain or cap that comes before the region or service it names would be refused, or hold for nothing.
+// A policy, drain or cap that is written before the region or service it names would be refused or have no effect.
 const ORDER: readonly ResourceKind[] = [
   ResourceKind.region,
   ResourceKind.link,
@@ -12,8 +12,8 @@
 ]
 
 /**
- * Resources in the order in which they can be written: what others name first, and caps before
- * the policies and drains whose shift they limit.
+ * Sorts resources in the order in which they can be written: those that others refer to first, and caps before the policies
+ * and drains whose shift they limit.
  */
 export function sortByDependence (resources: readonly DeclaredResource[]): DeclaredResource[] {
   return [...resources].sort((left, right) => ORDER.indexOf(left.kind) - ORDER.indexOf(right.kind))
--- a/packages/almondrelay-cli/src/trace/readTrace.ts
+++ b/packages/almondrelay-cli/src/trace/readTrace.ts
@@ -6,14 +6,14 @@
 
 interface NumberedLine {
   file: string
-  /** From 1. */
+  /** Line number, from 1. */
   number: number
   line: TraceLine
 }
 
 /**
- * The decisions in log files, one after the other; other log lines and broken ones, such as the
- * last line of a host that was killed, are passed over.
+ * Reads the decisions in log files, one after the other. Other log lines and broken ones, such as the last line of a host
+ * that was killed, are skipped.
  *
  * @throws AlmondrelayError of kind `request-invalid` where a file can't be read.
  */
@@ -43,7 +43,7 @@
   }
 }
 
-// A host of the users' platform writes one line for all decisions of a request.
+// A host that runs the gateway writes one line for all decisions about a request.
 const toTraceLine = (line: RequestLine | undefined): TraceLine | undefined => line === undefined
   ? undefined
   : { time: line.time, host: line.host, decision: 'request', requestId: line.id, input: line, output: null }
--- a/packages/almondrelay-cli/src/trace/requestLine.ts
+++ b/packages/almondrelay-cli/src/trace/requestLine.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod'
 
-/** A line that a host of the users' platform writes for each request, when it has its answer. */
+/** The log line that a host that runs the gateway writes for each request once it is answered. */
 const RequestLine = z.looseObject({
   time: z.string(),
   host: z.string(),
@@ -9,13 +9,13 @@
   route: z.string().optional(),
   /** Version of the configuration that chose the route. */
   version: z.number().optional(),
-  /** Whose key it came with. */
+  /** Organisation whose key the request carried. */
   organisation: z.string().optional(),
-  /** Part of the organisation's requests that the host let through. */
+  /** Share of the organisation's requests that the host admitted. */
   allowedPart: z.number().optional(),
   key: z.string().optional(),
   service: z.string().optional(),
-  /** Region in which the key has its place. */
+  /** Home region of the key. */
   homeRegion: z.string().optional(),
   attempts: z.array(z.object({
     target: z.string(),
@@ -29,7 +29,7 @@
   outcome: z.string().optional(),
   status: z.number().optional(),
   reason: z.string().optional(),
-  /** What was asked, where a target gave no whole answer or the request is quarantined. */
+  /** Identifies the request; present where a target gave no complete answer or the request is quarantined. */
   fingerprint: z.string().optional(),
   ms: z.number().optional()
 })
--- a/packages/almondrelay-cli/src/trace/traceLine.ts
+++ b/packages/almondrelay-cli/src/trace/traceLine.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod'
 
-/** A line of the decision log, as far as it is a decision. */
+/** A line of the log that records a decision. */
 const TraceLine = z.looseObject({
   time: z.string().default(''),
   host: z.string().default(''),
--- a/packages/almondrelay/scripts/measureDecisions.js
+++ b/packages/almondrelay/scripts/measureDecisions.js
@@ -1,5 +1,5 @@
-// Measures, against dist, the cost of one admission plus choice by number of targets and callers,
-// and the memory of a queued request and of a known caller. Run with --expose-gc for the memory.
+// Measures the cost of one admission decision plus target choice by number of targets and callers, and the memory
+// used by a queued request and by a known caller. Uses the compiled code in dist; the memory figures need --expose-gc.
 import { AdmissionQueue, createSeededRandom, TargetChooser } from '../dist/index.js'
 
 const ROUNDS = 200_000
@@ -8,7 +8,10 @@
 const SLOTS = 6
 const NONE = new Set()
 
-/** One round: a request arrives and starts or waits, another ends, the next one is taken. Time is virtual. */
+/**
+ * Measures rounds in virtual time. In each round a request arrives and is started or queued, another request ends, and the
+ * next one is taken from the queue.
+ */
 function measureRound (targetCount, callerCount) {
   const random = createSeededRandom(7)
   const queue = new AdmissionQueue({ maxQueued: 100_000, maxWaitMs: 60_000 }, random)
--- a/scripts/runTests.js
+++ b/scripts/runTests.js
@@ -1,5 +1,5 @@
-// Runs every compiled test file in a process of its own, a few at once, and closes with
-// the line "N passed, N failed". A file listed in KNOWN-RED.txt may fail; it is printed.
+// Runs every compiled test file in a process of its own, several in parallel, and prints "N passed, N failed"
+// as the last line. A file that KNOWN-RED.txt lists may fail without failing the run; its output is printed.
 import { spawn } from 'node:child_process'
 import { existsSync, readdirSync, readFileSync } from 'node:fs'
 import { cpus } from 'node:os'
--- a/tools/eslint/functionVerb.js
+++ b/tools/eslint/functionVerb.js
@@ -2,12 +2,12 @@
 
 const FIRST_WORD = /^[#_]?([a-z]+)/
 
-/** Function and method names begin with a verb of docs/verbs.md. */
+/** Requires that function and method names begin with a verb that docs/verbs.md lists. */
 export const functionVerb = {
   meta: {
     type: 'suggestion',
     schema: [],
-    messages: { verb: "'{{name}}' does not begin with a verb of docs/verbs.md: rename it, or add the verb with its meaning there" }
+    messages: { verb: "'{{name}}' does not begin with a verb that docs/verbs.md lists: rename it, or add the verb with its meaning there" }
   },
   create (context) {
     const verbs = loadVerbs()
--- a/tools/eslint/oneExport.js
+++ b/tools/eslint/oneExport.js
@@ -1,9 +1,12 @@
-/** A file exports one name; index.ts files gather. A type and a value of one name count once. */
+/**
+ * Requires that a file exports only one name. A type and a value of the same name count as one. The configuration
+ * exempts index.ts files, which re-export.
+ */
 export const oneExport = {
   meta: {
     type: 'suggestion',
     schema: [],
-    messages: { many: 'this file exports {{names}}: one export a file, move the others into files of their own' }
+    messages: { many: 'this file exports {{names}}: only one export per file is allowed, move the others into files of their own' }
   },
   create (context) {
     const names = new Set()
