--- a/packages/almondrelay/src/caller/caller.ts
+++ b/packages/almondrelay/src/caller/caller.ts
@@ -18,7 +18,7 @@
   id: string
   attempt: number
   deadlineAt: number
-  /** Set once a byte of the present attempt may have reached the host. */
+  /** Set once a byte of the current attempt may have reached the host. */
   home: CallerHost | undefined
   /** Hosts that could not be reached in this attempt. */
   failed: Set<string>
@@ -31,9 +31,9 @@
 const DEFAULT_RETRY_MS = 500
 
 /**
- * Keeps the caller contract: looks up hosts, sends with id, home, attempt and deadline, and asks
- * again as the contract allows. A non-idempotent call keeps its id and home until the home said
- * `not-run`; only then it goes on with a higher attempt, perhaps at another host.
+ * Client that follows the caller contract: looks up hosts, sends requests with id, home, attempt and
+ * deadline, and retries as the contract allows. A non-idempotent call keeps its id and home until the
+ * home answers `not-run`; only then is it sent with the next attempt number, possibly to another host.
  */
 export class Caller {
   private readonly agent = new Agent({ keepAliveTimeout: MAX_IDLE_MS, headersTimeout: 0, bodyTimeout: 0 })
@@ -43,7 +43,7 @@
     this.lookups = new LookupCache(options.hosts, options.clock, this.agent)
   }
 
-  /** Always resolves, by the deadline, with what is known of the call then. */
+  /** Runs a call; always resolves by the deadline, with the last known answer. */
   async call (call: CallerCall, signal: AbortSignal): Promise<Answer & { id: string }> {
     const { clock } = this.options
     const deadlineAt = clock.getNow() + call.deadlineMs
@@ -72,7 +72,7 @@
     await this.agent.destroy()
   }
 
-  /** One exchange; true once the answer is final. */
+  /** Sends the request once; returns true once the answer is final. */
   private async advance (state: CallState): Promise<boolean> {
     const host = await this.chooseHost(state)
     if (host === undefined) {
@@ -106,7 +106,7 @@
     return false
   }
 
-  /** A new attempt; under a new id where the home no longer tells this one's attempts apart. */
+  /** Begins a new attempt, under a new id if the home has fenced the current one and can no longer distinguish its attempts. */
   private renew (state: CallState, answer: Answer): void {
     state.attempt += 1
     if (answer.reason !== RefusalReason.fenced) return
@@ -114,7 +114,10 @@
     state.attempt = 0
   }
 
-  /** The same request again, to its home through any host, until the deadline. */
+  /**
+   * Handles a lost connection: the same request is sent again through any host, to the same home unless it is
+   * idempotent, until the deadline.
+   */
   private async acceptLoss (state: CallState, host: CallerHost): Promise<boolean> {
     state.last = buildRefusal({ outcome: Outcome.unknown, reason: RefusalReason.answerLost, message: `the connection to host ${host.name} was lost: ask the service whether it ran` })
     state.failed.add(host.name)
@@ -123,7 +126,7 @@
     return false
   }
 
-  /** The home first, then others by the look-up's weights. */
+  /** Chooses the home if it can be reached, else another host by the weights of the look-up. */
   private async chooseHost (state: CallState): Promise<CallerHost | undefined> {
     const { home, failed } = state
     if (home !== undefined && !failed.has(home.name)) return home
--- a/packages/almondrelay/src/caller/callerCall.ts
+++ b/packages/almondrelay/src/caller/callerCall.ts
@@ -1,17 +1,17 @@
 import type { AnswerHeader } from '../request/answerHeader.js'
 
-/** One piece of work that a caller wants done. */
+/** A request that a caller wants to be run. */
 export interface CallerCall {
   service: string
   method: string
-  /** Path and query at the target, beginning with /. */
+  /** Path and query as sent to the target, beginning with /. */
   path: string
   headers?: AnswerHeader[]
   body?: Uint8Array
-  /** Whether running it twice is the same as once; as the Service resource says. */
+  /** Whether running the request twice has the same effect as once, as declared by the Service resource. */
   idempotent: boolean
-  /** What fairness counts by within this caller. */
+  /** Key of the request; this caller's slots are shared fairly among its keys. */
   key?: string
-  /** Milliseconds until an answer is of no use. */
+  /** Milliseconds after which an answer is of no use. */
   deadlineMs: number
 }
--- a/packages/almondrelay/src/caller/callerHost.ts
+++ b/packages/almondrelay/src/caller/callerHost.ts
@@ -1,8 +1,8 @@
-/** An entry host as a look-up names it. */
+/** An entry host as returned by a look-up. */
 export interface CallerHost {
   name: string
   incarnation: number
   address: string
-  /** Part of new requests that it should get. */
+  /** Share of new requests that should be sent to the host. */
   weight: number
 }
--- a/packages/almondrelay/src/caller/callerOptions.ts
+++ b/packages/almondrelay/src/caller/callerOptions.ts
@@ -1,10 +1,10 @@
 import type { Random } from '../request/random.js'
 import type { Clock } from '../process/platform/clock.js'
 
-/** Who calls, and where it asks first. */
+/** Name of the caller, and the entry hosts for its first look-ups. */
 export interface CallerOptions {
   caller: string
-  /** Caller addresses of entry hosts to send the first look-ups to. */
+  /** Addresses at which entry hosts accept callers, for the first look-ups. */
   hosts: string[]
   clock: Clock
   random: Random
--- a/packages/almondrelay/src/caller/createId.ts
+++ b/packages/almondrelay/src/caller/createId.ts
@@ -1,6 +1,6 @@
 import { randomBytes } from 'node:crypto'
 
-/** A UUIDv7 (RFC 9562, section 5.7) of a wall time in milliseconds. */
+/** Creates a UUIDv7 (RFC 9562, section 5.7) for a wall-clock time in milliseconds. */
 export function createId (wallMs: number): string {
   const bytes = randomBytes(16)
   bytes.writeUIntBE(Math.floor(wallMs), 0, 6)
--- a/packages/almondrelay/src/caller/lookupCache.ts
+++ b/packages/almondrelay/src/caller/lookupCache.ts
@@ -18,7 +18,7 @@
 
 const LOOKUP_TIMEOUT_MS = 1_000
 
-/** Look-ups kept for their time to live. */
+/** Caches look-up answers for their time to live. */
 export class LookupCache {
   private readonly cached = new Map<string, CachedLookup>()
   private known: string[]
@@ -27,7 +27,7 @@
     this.known = [...hosts]
   }
 
-  /** Hosts for a service, best first; rejects with `not-ready` where no host answers. */
+  /** Finds the hosts for a service, best first; rejects with `not-ready` if no host answers and no answer is cached. */
   async find (service: string, signal: AbortSignal): Promise<CallerHost[]> {
     const cached = this.cached.get(service)
     if (cached !== undefined && cached.expiresAt > this.clock.getNow()) return cached.hosts
@@ -42,7 +42,7 @@
     throw new AlmondrelayError({ kind: ErrorKind.notReady, message: `no entry host answered a look-up for ${service}`, remedy: 'check the addresses of the entry hosts, or try again' })
   }
 
-  /** The next `find` asks again. */
+  /** Removes the cached answer for a service, so that the next `find` looks it up again. */
   drop (service: string): void {
     this.cached.delete(service)
   }
--- a/packages/almondrelay/src/caller/sendToHost.ts
+++ b/packages/almondrelay/src/caller/sendToHost.ts
@@ -21,13 +21,13 @@
 
 type SendResult =
   | { kind: 'answered', answer: Answer }
-  /** No byte left for the host. */
+  /** No byte was sent to the host. */
   | { kind: 'not-sent' }
   | { kind: 'lost' }
 
 const NOT_SENT_CODES: ReadonlySet<string> = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT'])
 
-/** One exchange with an entry host. */
+/** Sends one request to an entry host and receives the answer. */
 export async function sendToHost (send: HostSend): Promise<SendResult> {
   const { call, host, dispatcher, signal } = send
   try {
@@ -63,7 +63,7 @@
   const reason = headers[HeaderName.reason]
   const target = headers[HeaderName.target]
   return {
-    // An answer without an outcome is not this system's word; nothing is known of the request.
+    // An answer without this header was not produced by Almondrelay, so the outcome of the request is unknown.
     outcome: (headers[HeaderName.outcome] ?? Outcome.unknown) as Outcome,
     status,
     headers: Object.entries(headers).flatMap(([name, value]) => [value ?? []].flat().map((each) => ({ name, value: each }))),
--- a/packages/almondrelay/src/request/__fixtures__/decisionHost.ts
+++ b/packages/almondrelay/src/request/__fixtures__/decisionHost.ts
@@ -7,7 +7,7 @@
 import type { FakeTarget } from './fakeTarget.js'
 import { ServingHost } from './servingHost.js'
 
-/** A host that decides with the modules, wired as the daemon wires them. */
+/** A simulated host with the decision modules, connected in the same way as in the daemon. */
 export class DecisionHost extends ServingHost {
   readonly queue: AdmissionQueue
   readonly chooser = new TargetChooser()
--- a/packages/almondrelay/src/request/__fixtures__/deployment.ts
+++ b/packages/almondrelay/src/request/__fixtures__/deployment.ts
@@ -1,17 +1,17 @@
 interface ServiceSize {
   service: string
-  /** Targets and slots each, as the users state them. */
+  /** Number of targets, and slots of each, as stated by the users. */
   targets: number
   slots: number
-  /** Mean service time, in milliseconds: an assumption, the users state none. */
+  /** Mean service time, in milliseconds; assumed, as the users state none. */
   meanMs: number
 }
 
-/** One deployment as its users state its size today. */
+/** A deployment with its current size as stated by its users. */
 export interface Deployment {
   name: string
   zones: number
-  /** One way between regions, in milliseconds. */
+  /** One-way latency between regions, in milliseconds. */
   regionLatencyMs: number
   services: ServiceSize[]
 }
--- a/packages/almondrelay/src/request/__fixtures__/deployments.ts
+++ b/packages/almondrelay/src/request/__fixtures__/deployments.ts
@@ -1,6 +1,6 @@
 import type { Deployment } from './deployment.js'
 
-/** Both users; each with its largest service and one of the smaller, non-idempotent ones. */
+/** The deployments of both users, each with its largest service and one of the smaller, non-idempotent services. */
 export const deployments: Deployment[] = [
   {
     name: 'kowhai',
--- a/packages/almondrelay/src/request/__fixtures__/eventLoop.ts
+++ b/packages/almondrelay/src/request/__fixtures__/eventLoop.ts
@@ -2,7 +2,7 @@
 
 type Event = () => void
 
-/** Virtual time: runs events in the order of their times. */
+/** Event loop in virtual time: runs events in the order of their times. */
 export class EventLoop {
   now = 0
   private readonly events = new IndexedHeap<Event>()
--- a/packages/almondrelay/src/request/__fixtures__/fakeOutcome.ts
+++ b/packages/almondrelay/src/request/__fixtures__/fakeOutcome.ts
@@ -1,6 +1,6 @@
-/** What a caller received. */
+/** Result of a request as seen by its caller. */
 export type FakeOutcome =
   | { kind: 'answered' }
   | { kind: 'refused', retryAfterMs: number | undefined }
-  /** Nothing by the deadline. */
+  /** No answer was received by the deadline. */
   | { kind: 'late' }
--- a/packages/almondrelay/src/request/__fixtures__/fakeRequest.ts
+++ b/packages/almondrelay/src/request/__fixtures__/fakeRequest.ts
@@ -1,11 +1,11 @@
 import type { QueuedRequest } from '../admission/queuedRequest.js'
 
-/** A request with what only the bench knows of it. */
+/** A request with properties that only the simulation knows. */
 export interface FakeRequest extends QueuedRequest {
-  /** Which of the run's sources sent it. */
+  /** Name of the source that sent the request. */
   source: string
   /** Service time on a warm, healthy target, in milliseconds. */
   workMs: number
-  /** 1 for the first time that it is sent. */
+  /** Attempt number, from 1. */
   attempt: number
 }
--- a/packages/almondrelay/src/request/__fixtures__/fakeTarget.ts
+++ b/packages/almondrelay/src/request/__fixtures__/fakeTarget.ts
@@ -1,13 +1,13 @@
-/** Answers that half warm a cold cache. */
+/** Number of answers after which half of the extra service time of a cold cache is gone. */
 const WARMING_ANSWERS = 20
 
-/** A target in virtual time: how long a request takes there, and a count that must not pass its slots. */
+/** A target in virtual time: computes service times, and counts the running requests, which must not exceed its slots. */
 export class FakeTarget {
-  /** Times longer than usual. */
+  /** Factor by which service times are longer than usual. */
   factor = 1
-  /** Accepts and never answers. */
+  /** Whether the target accepts requests and never answers. */
   isSilent = false
-  /** Times longer at first, while its caches are cold; 1 when warm. */
+  /** Factor by which service times are longer at first, while caches are cold; 1 for a warm target. */
   coldFactor = 1
   running = 0
   mostRunning = 0
--- a/packages/almondrelay/src/request/__fixtures__/loadReport.ts
+++ b/packages/almondrelay/src/request/__fixtures__/loadReport.ts
@@ -15,7 +15,7 @@
   to?: number
 }
 
-/** What callers received in one run. */
+/** Results that callers received in one run. */
 export class LoadReport {
   private readonly received: Received[] = []
 
@@ -31,14 +31,14 @@
     return this.received.filter((each) => each.kind !== 'late' && each.isAfterDeadline).length
   }
 
-  /** Part of the requests that were refused or got nothing, 0 to 1. */
+  /** Share of the requests that were refused or got no answer, 0 to 1. */
   computeUnserved (selection: Selection = {}): number {
     const answered = this.count('answered', selection)
     const unserved = this.count('refused', selection) + this.count('late', selection)
     return unserved / Math.max(1, answered + unserved)
   }
 
-  /** Milliseconds from arrival below which the part `rank` (0 to 1) of such outcomes came. */
+  /** Percentile `rank` (0 to 1) of the time from arrival to such an outcome, in milliseconds. */
   computePercentile (rank: number, selection: Selection = {}, kind: FakeOutcome['kind'] = 'answered'): number {
     const times = this.select(kind, selection).map((each) => each.tookMs).sort((one, other) => one - other)
     return times[Math.min(times.length - 1, Math.floor(rank * times.length))] ?? 0
--- a/packages/almondrelay/src/request/__fixtures__/loadRun.ts
+++ b/packages/almondrelay/src/request/__fixtures__/loadRun.ts
@@ -9,7 +9,7 @@
 import type { ServingHost } from './servingHost.js'
 import type { Source } from './source.js'
 
-/** Where a refusal states no time, callers come back after this, in milliseconds. */
+/** Retry delay after a refusal without one, in milliseconds. */
 const PLAIN_RETRY_MS = 100
 
 interface LoadRunOptions {
@@ -18,7 +18,7 @@
   seed: number
 }
 
-/** One run in virtual time: sources, one host, its targets, and what callers received. */
+/** A simulation in virtual time of sources, one host and its targets, with the results that callers received. */
 export class LoadRun {
   readonly loop = new EventLoop()
   readonly report = new LoadReport()
@@ -32,7 +32,7 @@
     this.host = kind === 'ours' ? new DecisionHost(this.loop, this.targets, createSeededRandom(seed + 1)) : new PlainHost(this.loop, this.targets)
   }
 
-  /** Sends the source's requests; each source has a random stream of its own, so that others don't change it. */
+  /** Adds a source of requests. Each source has its own random generator, so that other sources don't change its requests. */
   addSource (source: Source, seed: number): void {
     const random = createSeededRandom(seed)
     const sendNext = (): void => {
--- a/packages/almondrelay/src/request/__fixtures__/plainHost.ts
+++ b/packages/almondrelay/src/request/__fixtures__/plainHost.ts
@@ -4,7 +4,7 @@
 
 const MAX_QUEUED = 256
 
-/** The plain baseline: a bounded first-in first-out queue, round robin, every slot used. */
+/** Baseline for comparison: a bounded first-in first-out queue and round robin over all free slots. */
 export class PlainHost extends ServingHost {
   private readonly waiting: FakeRequest[] = []
   private turn = 0
--- a/packages/almondrelay/src/request/__fixtures__/scope.ts
+++ b/packages/almondrelay/src/request/__fixtures__/scope.ts
@@ -1,6 +1,6 @@
-/** The targets that one queue serves in a run. */
+/** The targets served by one queue in a simulation. */
 export interface Scope {
-  /** Deployment, service and whether one zone's part or the whole. */
+  /** Deployment, service, and whether the targets are those of one zone or all. */
   name: string
   targets: number
   slots: number
--- a/packages/almondrelay/src/request/__fixtures__/servingHost.ts
+++ b/packages/almondrelay/src/request/__fixtures__/servingHost.ts
@@ -5,7 +5,7 @@
 
 type Listener = (request: FakeRequest, outcome: FakeOutcome, now: number) => void
 
-/** One entry host before the targets of one service; runs what its subclass decides. */
+/** An entry host with the targets of one service; runs the requests that its subclass chooses. */
 export abstract class ServingHost {
   readonly targets = new Map<string, FakeTarget>()
   protected readonly none: ReadonlySet<string> = new Set()
@@ -26,7 +26,7 @@
     this.listener(request, outcome, this.loop.now)
   }
 
-  /** Runs the request; it is given up at its deadline, which frees the slot. */
+  /** Runs a request on a target; it is cancelled at its deadline, which frees the slot. */
   protected run (request: FakeRequest, target: FakeTarget): void {
     const startedAt = this.loop.now
     const endsAt = startedAt + target.computeServiceTime(request.workMs)
--- a/packages/almondrelay/src/request/__fixtures__/source.ts
+++ b/packages/almondrelay/src/request/__fixtures__/source.ts
@@ -1,21 +1,21 @@
 /** An open-loop Poisson stream of requests. */
 export interface Source {
   name: string
-  /** Callers among which each request's is drawn. */
+  /** Number of callers from which the caller of each request is drawn. */
   callers: number
-  /** Keys of a caller among which each request's is drawn. */
+  /** Number of keys of a caller from which the key of each request is drawn. */
   keys: number
-  /** One caller, or one key, for all requests. */
+  /** Fixed caller or key for all requests. */
   caller?: string
   key?: string
   route: string
   perSecond: number
-  /** Mean service time, in milliseconds; times are exponential. */
+  /** Mean service time, in milliseconds; service times are exponentially distributed. */
   meanMs: number
   deadlineMs: number
-  /** Virtual milliseconds. */
+  /** Virtual time in milliseconds. */
   from: number
   to: number
-  /** Times that a request is sent again after a refusal, or after nothing came. */
+  /** Number of times that a request is retried after a refusal or a missing answer. */
   retries: number
 }
--- a/packages/almondrelay/src/request/__tests__/burst.test.ts
+++ b/packages/almondrelay/src/request/__tests__/burst.test.ts
@@ -27,14 +27,14 @@
 
 for (const scope of listScopes()) {
   test(`burst of five times capacity for 2 s: ${scope.name}`, () => {
-    // At 9 in the morning everyone opens the calendar. Each request is answered in time or refused
-    // at once; without bounds by time the backlog is served long after its callers left.
+    // When all users open the calendar at 9 in the morning, each request must be answered in time or refused
+    // immediately. If the backlog is not limited by time, it is served long after its callers have left.
     const ours = simulateBurst(scope, 'ours')
     const plain = simulateBurst(scope, 'plain')
     console.log(scope.name, 'ours', JSON.stringify(ours), 'plain', JSON.stringify(plain))
     assert.is(ours.late, 0)
     assert.ok(ours.refusalP99 <= 5, `99% of refusals within ${ours.refusalP99} ms`)
-    assert.ok(ours.p99After <= 1.2 * ours.p99Before, 'latency is back to normal 2 s after the burst')
+    assert.ok(ours.p99After <= 1.2 * ours.p99Before, 'latency has returned to normal 2 s after the burst')
   })
 }
 
--- a/packages/almondrelay/src/request/__tests__/coldMove.test.ts
+++ b/packages/almondrelay/src/request/__tests__/coldMove.test.ts
@@ -25,7 +25,7 @@
   movedShare: number
 }
 
-/** Moves all work of warm targets to as many idle, cold ones: paced, or at once. */
+/** Moves all work of warm targets to an equal number of idle, cold targets, either paced or at once. */
 function simulateMove (scope: Scope, kind: 'ours' | 'plain', cap: number): Move {
   const loop = new EventLoop()
   const report = new LoadReport()
@@ -76,16 +76,16 @@
 }
 
 for (const scope of listScopes()) {
-  test(`a big move on to idle, cold targets: ${scope.name}`, () => {
-    // A region is drained for maintenance. Its whole load meets targets that stood idle for hours and answer
-    // five times slower: more than they can do, so that queues grow just while the operator watches.
+  test(`move of a region's load to idle, cold targets: ${scope.name}`, () => {
+    // A region is drained for maintenance. Its whole load moves to targets that were idle for hours and answer
+    // five times slower. Moved all at once, it exceeds their capacity, and queues grow during the drain.
     const cap = scope.targets * scope.slots
     const ours = simulateMove(scope, 'ours', cap)
     const plain = simulateMove(scope, 'plain', cap)
     console.log(scope.name, 'ours', JSON.stringify(ours), 'plain', JSON.stringify(plain))
     assert.ok(ours.p99 < 2 * ours.warmP99, `99th percentile ${(ours.p99 / ours.warmP99).toFixed(2)} times the warm one`)
-    assert.ok(ours.mostMoved <= cap, 'the cap is never passed')
-    assert.ok(ours.movedShare > 0.99, 'the move ends')
+    assert.ok(ours.mostMoved <= cap, 'the cap is never exceeded')
+    assert.ok(ours.movedShare > 0.99, 'the move is completed')
   })
 }
 
--- a/packages/almondrelay/src/request/__tests__/hotCaller.test.ts
+++ b/packages/almondrelay/src/request/__tests__/hotCaller.test.ts
@@ -7,9 +7,9 @@
 import type { Source } from '../__fixtures__/source.js'
 
 const SEED = 21
-/** Virtual time: about as many requests for each size, so that 99th percentiles rest on some thousands. */
+/** End in virtual time: about the same number of requests for each size, so that 99th percentiles are based on thousands. */
 const computeEnd = ({ targets, slots }: Scope): number => targets * slots > 36 ? 8_000 : 40_000
-/** Of capacity; the hot one sends as much again, so that both together are above capacity. */
+/** Share of capacity; the hot caller or key sends the same amount, so that the sum is above capacity. */
 const USUAL_LOAD = 0.65
 
 interface Others {
@@ -17,7 +17,7 @@
   unserved: number
 }
 
-/** What the others receive, with or without a hot one that sends as much as they all together. */
+/** Simulates the results of the other callers, with or without a hot caller or key that sends as much as all of them together. */
 function simulateHot (scope: Scope, kind: 'ours' | 'plain', usual: Partial<Source>, hot?: Partial<Source>): Others {
   const run = new LoadRun({ scope, kind, seed: SEED })
   const end = computeEnd(scope)
@@ -39,14 +39,14 @@
 
 for (const scope of listScopes()) {
   test(`one hot caller at half of all load: ${scope.name}`, () => {
-    // A school's script fetches every balance in a loop. The other schools' pages slow down or
-    // fail although they send no more than ever: in order of arrival they wait behind it.
+    // A caller's script fetches every balance in a loop. Served in order of arrival, the requests of all
+    // other callers wait behind it and slow down or fail, although these callers send no more than usual.
     compareHot(scope, {}, { caller: 'hot' })
   })
 
   test(`one hot key of one caller at half of all load: ${scope.name}`, () => {
-    // One clinic of a large caller syncs its calendar without pause, and the caller's other
-    // clinics wait behind it, because fairness by caller sees a single caller.
+    // One user of a large caller synchronizes a calendar without pause. With fairness by caller only,
+    // the same caller's other users wait behind that one.
     compareHot(scope, { caller: 'one', keys: 160 }, { caller: 'one', key: 'hot' })
   })
 }
--- a/packages/almondrelay/src/request/__tests__/longJobs.test.ts
+++ b/packages/almondrelay/src/request/__tests__/longJobs.test.ts
@@ -10,7 +10,7 @@
 const LONG_FACTOR = 50
 const LONG_PART = 0.05
 const LONG_DEADLINE_MS = 30_000
-/** Of capacity, short and long work together. */
+/** Share of capacity, short and long work together. */
 const TOTAL_LOAD = 0.7
 
 interface Lengths {
@@ -40,8 +40,8 @@
 
 for (const scope of listScopes()) {
   test(`5% of jobs 50 times longer: ${scope.name}`, () => {
-    // A payroll officer asks for the year's report. Such jobs are one in twenty, yet after a while every
-    // slot runs one, and a page that shows one balance waits a second for nothing of its own.
+    // Only one request in twenty is a long job, such as a yearly report. Without slots reserved for short
+    // work, every slot eventually runs a long job, and short requests wait a second for a slot.
     const without = simulateLengths(scope, 'ours', false)
     const ours = simulateLengths(scope, 'ours', true)
     const plain = simulateLengths(scope, 'plain', true)
--- a/packages/almondrelay/src/request/__tests__/overload.test.ts
+++ b/packages/almondrelay/src/request/__tests__/overload.test.ts
@@ -10,13 +10,13 @@
 const END = 65_000
 
 interface Overload {
-  /** Answers in time over what the slots can give. */
+  /** Answers in time, divided by the number that the slots can give. */
   goodput: number
   late: number
   refusalP99: number
   latestRefusalMs: number
   p99: number
-  /** Requests sent, retries among them, over those that callers wanted to make. */
+  /** Requests sent, including retries, divided by the requests that callers wanted to make. */
   sentAgain: number
 }
 
@@ -37,13 +37,16 @@
   }
 }
 
-/** The 96 and 84 slots of the largest services on a single queue would take minutes to run and stand for no host. */
+/**
+ * Larger scopes are left out: the 96 and 84 slots of the largest services on a single queue take minutes to run, and
+ * no host has that many.
+ */
 const MAX_SLOTS = 36
 
 for (const scope of listScopes().filter(({ targets, slots }) => targets * slots <= MAX_SLOTS)) {
   test(`twice capacity for 60 s with callers that retry: ${scope.name}`, () => {
-    // Half of the back ends are down on the last day of the month. Callers who get nothing in time send
-    // again, so that slots run requests nobody waits for, and the more fail the more are sent.
+    // Half of the targets are down at peak load. Callers without an answer in time retry, so that slots run
+    // requests for which no caller waits any more, and each failure causes more requests.
     const ours = simulateOverload(scope, 'ours')
     const plain = simulateOverload(scope, 'plain')
     console.log(scope.name, 'ours', JSON.stringify(ours), 'plain', JSON.stringify(plain))
--- a/packages/almondrelay/src/request/__tests__/slowTarget.test.ts
+++ b/packages/almondrelay/src/request/__tests__/slowTarget.test.ts
@@ -9,12 +9,12 @@
 
 const SEED = 31
 const FAULT_AT = 5_000
-/** The large sizes see enough requests in less time. */
+/** End in virtual time: large sizes get enough requests in less time. */
 const computeEnd = ({ targets, slots }: Scope): number => targets * slots > 36 ? 9_000 : 30_000
 const REPORT_EVERY_MS = 1_000
 
 interface Goodput {
-  /** Answers in time after the fault, over what the healthy targets can give or callers ask for. */
+  /** Answers in time after the fault, divided by the number that the healthy targets can give or callers ask for. */
   goodput: number
   late: number
   p99: number
@@ -22,7 +22,10 @@
 
 type Fault = (run: LoadRun, target: FakeTarget) => void
 
-/** Load above what the healthy targets can give, so that goodput is bounded by the decisions alone. */
+/**
+ * Simulates a fault of one target at `load` times the capacity of the healthy targets; above that capacity, only the
+ * decisions limit goodput.
+ */
 function simulateFault (scope: Scope, kind: 'ours' | 'plain', load: number, inject: Fault): Goodput {
   const run = new LoadRun({ scope, kind, seed: SEED })
   const end = computeEnd(scope)
@@ -39,7 +42,7 @@
   }
 }
 
-/** A health endpoint that says the same whatever holds. */
+/** Simulates a health endpoint that always reports the same load, whatever the actual state. */
 const reportAlways = (run: LoadRun, target: FakeTarget, load: number): void => {
   if (run.loop.now > 30_000) return
   if (run.host instanceof DecisionHost) run.host.chooser.report(target.name, { load, leaving: false, healthy: true }, run.loop.now)
@@ -59,8 +62,8 @@
 for (const scope of listScopes()) {
   for (const [name, inject] of Object.entries(faults)) {
     test(`one target ${name}: ${scope.name}`, () => {
-      // One back end of many turns bad. Callers whose requests go there wait for their deadline, and its
-      // slots and the queue before them fill, until the good back ends stand idle.
+      // One of several targets fails. Callers whose requests are sent to it wait until their deadline, and its
+      // slots and the queue fill up, until the healthy targets are idle.
       for (const load of [0.9, 1.1]) {
         const ours = simulateFault(scope, 'ours', load, inject)
         const plain = simulateFault(scope, 'plain', load, inject)
--- a/packages/almondrelay/src/request/admission/__tests__/admissionQueue.test.ts
+++ b/packages/almondrelay/src/request/admission/__tests__/admissionQueue.test.ts
@@ -8,9 +8,9 @@
 const makeRequest = (id: string, parts: Partial<QueuedRequest> = {}): QueuedRequest =>
   ({ id, caller: 'c', key: '', route: 'GET /x', deadlineAt: 1_000, arrivedAt: 0, ...parts })
 
-test('every request gets exactly one decision, whatever capacity does', () => {
-  // A caller's connection hangs for good: its request had left the queue to make room for another one,
-  // and nobody told it so. Each one offered has to be started, refused or cancelled, once.
+test('every request gets exactly one decision while capacity changes', () => {
+  // A request that was displaced from the queue but not refused would leave its caller's connection
+  // open forever. Each offered request must be started, refused or cancelled exactly once.
   for (let seed = 1; seed <= 40; seed += 1) {
     const random = createSeededRandom(seed)
     const queue = new AdmissionQueue({ maxQueued: 20, maxWaitMs: 200 }, random)
@@ -46,7 +46,7 @@
   }
 })
 
-test('a refusal names its reason, and the refused are asked back at different times', () => {
+test('a refusal states its reason, and refused callers get different retry delays', () => {
   const queue = new AdmissionQueue({}, createSeededRandom(1))
   const offer = (id: string, parts: Partial<QueuedRequest>, capacity: number): string => {
     const decision = queue.offer(makeRequest(id, parts), 0, capacity, 10)
--- a/packages/almondrelay/src/request/admission/__tests__/indexedHeap.test.ts
+++ b/packages/almondrelay/src/request/admission/__tests__/indexedHeap.test.ts
@@ -6,7 +6,7 @@
 const SEED = 20_261
 const operations = fc.array(fc.record({ item: fc.integer({ min: 0, max: 30 }), priority: fc.integer({ min: 0, max: 50 }), remove: fc.boolean() }))
 
-test('items leave by priority, also after moves and removals', () => {
+test('items are taken by priority, also after moves and removals', () => {
   fc.assert(fc.property(operations, (steps) => {
     const heap = new IndexedHeap<number>()
     const model = new Map<number, number>()
--- a/packages/almondrelay/src/request/admission/admissionBatch.ts
+++ b/packages/almondrelay/src/request/admission/admissionBatch.ts
@@ -1,10 +1,10 @@
 import type { AdmissionRefusal } from './admissionRefusal.js'
 import type { QueuedRequest } from './queuedRequest.js'
 
-/** What `AdmissionQueue.take` hands out. */
+/** Requests that leave the queue in one `AdmissionQueue.take` call. */
 export interface AdmissionBatch {
-  /** To run now, in this order; they count as running until `finish`. */
+  /** Requests to run now, in this order; they count as running until `finish` is called. */
   start: QueuedRequest[]
-  /** To refuse now. */
+  /** Requests to refuse now. */
   refuse: AdmissionRefusal[]
 }
--- a/packages/almondrelay/src/request/admission/admissionDecision.ts
+++ b/packages/almondrelay/src/request/admission/admissionDecision.ts
@@ -1,10 +1,10 @@
 import type { RefusalReason } from '../refusalReason.js'
 import type { AdmissionRefusal } from './admissionRefusal.js'
 
-/** What becomes of a request that has just arrived. */
+/** Decision on a request that has just arrived. */
 export type AdmissionDecision =
-  /** Run it now; it counts as running until `finish`. */
+  /** Run it now; it counts as running until `finish` is called. */
   | { kind: 'start' }
-  /** It waits. `displaced` gave up their place to it and are to be refused now. */
+  /** It waits. The `displaced` requests were removed from the queue to make room for it and are to be refused now. */
   | { kind: 'wait', displaced: AdmissionRefusal[] }
   | { kind: 'refuse', reason: RefusalReason, retryAfterMs: number }
--- a/packages/almondrelay/src/request/admission/admissionOptions.ts
+++ b/packages/almondrelay/src/request/admission/admissionOptions.ts
@@ -1,9 +1,9 @@
-/** Bounds of one admission queue. */
+/** Limits of one admission queue. */
 export interface AdmissionOptions {
-  /** Requests that may wait. */
+  /** Maximum number of waiting requests. */
   maxQueued: number
-  /** Longest wait, in milliseconds, that is let build up for short work. */
+  /** Longest expected wait of short work, in milliseconds; further requests are refused. */
   maxWaitMs: number
-  /** Cost, in milliseconds of one slot, of a route not yet seen. */
+  /** Expected cost, in milliseconds of one slot, until a first request has been measured. */
   initialCostMs: number
 }
--- a/packages/almondrelay/src/request/admission/admissionQueue.ts
+++ b/packages/almondrelay/src/request/admission/admissionQueue.ts
@@ -13,28 +13,28 @@
 import type { WaitingRequest } from './waitingRequest.js'
 import { WaitingSet } from './waitingSet.js'
 
-/** What waits is shed once the capacity has fallen so far that the backlog is this many times its bound. */
+/** Waiting requests are shed when a loss of capacity leaves the backlog at more than this many times its limit. */
 const SHED_FACTOR = 2
-/** A request is refused when it has waited this many times the time that the backlog was to last. */
+/** A request is refused once it has waited this many times the limit on the wait of its lane. */
 const PATIENCE_FACTOR = 1.5
-/** Time after which a request in its turn is looked at again, in its own expected costs. */
+/** Delay before an overtaken request that may not start yet is checked again, in multiples of its expected cost. */
 const PASSED_BY_CHECK_JOBS = 2
 
 /**
- * Decides for one service at one host who is served, who waits and who is refused.
+ * Decides, for one service at one host, which requests are served, wait or are refused.
  *
- * Load patterns answered: a burst, overload, one hot caller or key, long jobs among short
- * ones. Without it (one first-in first-out queue) a burst leaves a backlog in which every
- * later request spends its deadline, so that slots are used on answers nobody waits for; a
- * hot caller makes all others wait; a few long jobs hold every slot.
+ * Handles bursts, overload, one hot caller or key, and long jobs among short ones. With a
+ * single first-in first-out queue instead, a burst leaves a backlog in which every later
+ * request waits past its deadline, so that slots are spent on answers that no caller waits
+ * for any more; a hot caller delays all others; and a few long jobs occupy every slot.
  *
- * - Two lanes, short and long work, each fair among callers and their keys (`FairLane`).
- *   Long work may hold only the slots that short work does not need (`ShortDemand`).
- * - A request is refused on arrival when its expected wait and cost pass its deadline, or
- *   when the backlog is at its bound and its caller already has its fair part of it. A
- *   caller with less displaces the latest request of the caller with the most.
- * - What waits is refused as soon as it can't be answered in time, not when the deadline
- *   passes; nothing else is held back.
+ * - There are two lanes, for short and long work, each fair among callers and their keys (`FairLane`).
+ *   Long work may only use the slots that short work does not need (`ShortDemand`).
+ * - A request is refused on arrival when its expected wait and cost exceed its deadline, or
+ *   when the backlog is at its limit and its caller already has its fair share of it. A
+ *   caller with less work waiting displaces the latest request of the caller with the most.
+ * - A waiting request is refused as soon as it can't be answered in time, not only when its
+ *   deadline passes. No other request is held back.
  *
  * Every operation is logarithmic in the number of waiting callers and requests. All times
  * are monotonic milliseconds.
@@ -61,21 +61,21 @@
     return this.started.size
   }
 
-  /** Expected cost of a request of the route, in milliseconds of one slot; that of a typical request while the route is new. */
+  /** Expected cost of a request of the route, in milliseconds of one slot; the cost of a typical request while the route is unknown. */
   estimateCost (route: string): number {
     return this.costs.estimate(route)
   }
 
-  /** The same; undefined until it is known well enough to judge a target by. */
+  /** Expected cost of a request of the route; undefined until enough answers have been measured to judge a target by it. */
   findCost (route: string): number | undefined {
     return this.costs.find(route)
   }
 
   /**
-   * Decides about a request that has just arrived.
+   * Decides on a request that has just arrived.
    *
-   * `freeSlots`: slots that can be used at once. `capacity`: slots, free or in use, that
-   * this host may use for the service at present.
+   * `freeSlots`: slots that can be used immediately. `capacity`: slots, free or in use, that
+   * this host may currently use for the service.
    */
   offer (request: QueuedRequest, freeSlots: number, capacity: number, now: number): AdmissionDecision {
     const entry = this.buildEntry(request)
@@ -93,7 +93,7 @@
     return this.wait(entry, usable, now)
   }
 
-  /** To be called after each finish, when slots are added, and at `computeNextCheckAt`. */
+  /** Takes requests to start or refuse; must be called after each `finish`, when slots are added, and at `computeNextCheckAt`. */
   take (freeSlots: number, capacity: number, now: number): AdmissionBatch {
     const refuse = this.dropLate(capacity, now)
     refuse.push(...this.dropExcess(capacity, now))
@@ -106,7 +106,7 @@
     return { start, refuse }
   }
 
-  /** The caller went away; false where the request does not wait. */
+  /** Removes the waiting request of a caller that has disconnected; returns false if the request is not waiting. */
   cancel (id: string, _now: number): boolean {
     const entry = this.entries.find(id)
     if (entry === undefined) return false
@@ -115,7 +115,10 @@
     return true
   }
 
-  /** A started request ended. `serviceTimeMs`: the time for which it held its slot; absent where it says nothing about the cost. */
+  /**
+   * Records the end of a started request. `serviceTimeMs`: the time for which it held its slot; undefined where that
+   * time does not show the cost.
+   */
   finish (request: QueuedRequest, serviceTimeMs: number | undefined, _now: number): void {
     const entry = this.started.get(request.id)
     if (entry === undefined) return
@@ -126,7 +129,7 @@
     this.costs.learn(request.route, serviceTimeMs)
   }
 
-  /** When `take` has to be called although nothing ends; undefined while nothing waits. */
+  /** Time by which `take` must be called even if no request ends; undefined while no request waits. */
   computeNextCheckAt (now: number): number | undefined {
     const latestStart = this.entries.findNextStart()
     return latestStart === undefined ? undefined : Math.max(now, latestStart)
@@ -148,7 +151,10 @@
     return { request, costMs: this.costs.estimate(route), tailMs: this.costs.estimateTail(route), isLong: this.costs.isLong(route) }
   }
 
-  /** Who has given up its place is never forgotten: the newcomer then takes it, full or not. */
+  /**
+   * Queues a new request. Once another request has been displaced for it, the new request takes that place even if
+   * the queue still counts as full.
+   */
   private wait (entry: WaitingRequest, capacity: number, now: number): AdmissionDecision {
     const lane = this.backlog.getLane(entry)
     const displaced: AdmissionRefusal[] = []
@@ -166,7 +172,10 @@
     return { kind: 'wait', displaced }
   }
 
-  /** A request is answered late if it starts later; and one that others passed by for long is better told so than held. */
+  /**
+   * Latest start at which the request is still answered in time, but no later than the maximum wait: a request
+   * that keeps being overtaken is refused early instead of being held.
+   */
   private computeLatestStart (entry: WaitingRequest, now: number): number {
     const bound = entry.isLong ? this.backlog.limitBacklog(true, entry.costMs, now) : this.options.maxWaitMs
     const patienceMs = PATIENCE_FACTOR * bound
@@ -183,10 +192,10 @@
   }
 
   /**
-   * Takes the oldest request that has waited for the length of one, of those whose caller
-   * and key are within their part. Without it a caller that was just served is passed by in
-   * every round by callers that come anew: in a busy moment two dozen of them went before
-   * it. A caller with more than its part stays in its turn, or its backlog would go before
+   * Takes the request that has waited the longest beyond its own expected cost, among those whose
+   * caller and key are within their fair share. Otherwise a caller that was just served is overtaken
+   * in every round by callers that newly arrive: up to two dozen of them under high load. A caller
+   * above its fair share keeps its regular turn, because its backlog would otherwise be served before
    * the requests of the others.
    */
   private takePassedBy (longMayStart: boolean, capacity: number, now: number): WaitingRequest | undefined {
@@ -219,7 +228,7 @@
     return dropped
   }
 
-  /** Slots were lost: what now waits too long is refused at once, the hottest caller's first. */
+  /** Drops requests that would wait too long after a loss of slots, beginning with those of the caller with the most waiting work. */
   private dropExcess (capacity: number, now: number): AdmissionRefusal[] {
     const dropped: AdmissionRefusal[] = []
     for (const lane of [this.backlog.short, this.backlog.long]) {
--- a/packages/almondrelay/src/request/admission/admissionStatus.ts
+++ b/packages/almondrelay/src/request/admission/admissionStatus.ts
@@ -1,11 +1,11 @@
-/** What a host's status says of one service's queue. */
+/** State of one service's admission queue. */
 export interface AdmissionStatus {
   waiting: number
   running: number
   runningLong: number
-  /** Expected work that waits, in milliseconds of one slot. */
+  /** Expected cost of the waiting requests, in milliseconds of one slot. */
   waitingCostMs: number
-  /** Callers that wait or whose recent use is remembered. */
+  /** Callers with waiting requests, or whose recent usage is still counted. */
   knownCallers: number
   /** Typical cost of a request, in milliseconds of one slot. */
   typicalCostMs: number
--- a/packages/almondrelay/src/request/admission/backlog.ts
+++ b/packages/almondrelay/src/request/admission/backlog.ts
@@ -5,34 +5,35 @@
 import { ShortDemand } from './shortDemand.js'
 import type { WaitingRequest } from './waitingRequest.js'
 
-/** A caller or key with this few waiting requests counts as within its part of the backlog. */
+/** A caller or key with at most this many waiting requests counts as within its fair share of the backlog. */
 const FEW_REQUESTS = 4
-/** Parts into which the backlog is divided at least, so that one hot caller among few has not half of it. */
+/** Minimum number of shares into which the backlog is divided, so that one hot caller among few does not get half of it. */
 const MIN_PARTS = 8
-/** Part of the backlog's bound above which each caller is held to its fair part of it. */
+/** Share of the backlog's limit above which each caller is held to its fair share. */
 const CROWDED_PART = 0.5
 /**
- * How many times the newcomer's waiting work the hottest caller must have to lose a place
- * to it. Among callers who are nearly alike, displacing refuses after a wait whom it could
- * have served, and gains nothing.
+ * A request of the hottest caller is displaced only if that caller has this many times the
+ * waiting work of the new request's caller. Between callers with similar backlogs, displacing
+ * gains nothing: it refuses, after a wait, a request that could have been served.
  */
 const DISPLACE_FACTOR = 4
-/** Where the hottest caller has this part of the backlog, and this many times what the newcomer's has, it makes room for it. */
+/** A caller with more than this share of the backlog is hot, and the lower `HOT_FACTOR` applies to it. */
 const HOT_PART = 0.25
+/** A hot caller with this many times the waiting work of another caller makes room for it. */
 const NEAR_FACTOR = 2
-/** The bound on the backlog of long work, in long jobs for each slot. */
+/** Limit of the backlog of long work, in long jobs for each slot. */
 const LONG_BACKLOG_JOBS = 8
 
 /**
- * What waits, in a lane for short and one for long work, and the rules on how much may.
+ * The waiting requests, in one lane for short and one for long work, and the limits on their amount.
  *
- * Answers a crowd: each caller, and each key within a caller, has its part of a bounded
- * backlog, so that who sends most is refused first and on arrival.
+ * Under overload each caller, and each key within a caller, has a share of a bounded backlog,
+ * so that the callers that send the most are refused first, and on arrival.
  */
 export class Backlog {
   readonly short = new FairLane()
   readonly long = new FairLane()
-  /** Long requests that run. */
+  /** Number of running long requests. */
   runningLong = 0
   private readonly demand = new ShortDemand()
   private readonly bound: BacklogBound
@@ -45,14 +46,14 @@
     return this.short.count + this.long.count
   }
 
-  /** Notes that a request came, whatever becomes of it. */
+  /** Records the arrival of a request, whatever is decided on it. */
   observe (entry: WaitingRequest, capacity: number, now: number): void {
     if (!entry.isLong) this.demand.add(entry.costMs, now)
     const spreadMs = this.short.waitingCostMs - (this.short.findHottest()?.waitingCostMs ?? 0)
     this.bound.observe(spreadMs / this.countLaneSlots(false, Math.max(capacity, 1), now), now)
   }
 
-  /** Whether long work may take one more slot. */
+  /** Whether long work may use one more slot. */
   allowLong (capacity: number, now: number): boolean {
     return this.runningLong < this.demand.limitLong(capacity, now)
   }
@@ -61,7 +62,7 @@
     return entry.isLong ? this.long : this.short
   }
 
-  /** Whether nothing that waits has a better claim to a free slot. */
+  /** Whether no waiting request takes precedence over the entry for a free slot. */
   isNext (entry: WaitingRequest, capacity: number, now: number): boolean {
     if (this.getLane(entry).count > 0) return false
     const longMayStart = this.allowLong(capacity, now)
@@ -69,7 +70,7 @@
     return this.long.count === 0 || !longMayStart
   }
 
-  /** Milliseconds until the entry would start, were it to wait. */
+  /** Expected wait of the entry, in milliseconds, if it is queued. */
   estimateWait (entry: WaitingRequest, capacity: number, now: number): number {
     const lane = this.getLane(entry)
     const own = lane.estimateWaiting(entry.request.caller) + entry.costMs
@@ -78,16 +79,16 @@
     return aheadMs / this.countLaneSlots(entry.isLong, capacity, now)
   }
 
-  /** Slots on which the lane's work drains; at least one. */
+  /** Number of slots that serve the lane; at least one. */
   countLaneSlots (isLong: boolean, capacity: number, now: number): number {
     if (isLong) return Math.min(capacity, this.demand.limitLong(capacity, now))
     return Math.max(1, capacity - this.runningLong)
   }
 
   /**
-   * Whether the caller, or the key within the caller, already has its part of a crowded
-   * backlog. Were its request let in, those of callers with less would pass it by, and it
-   * would be refused after a wait.
+   * Whether the caller, or the key within the caller, already has its fair share of a crowded
+   * backlog. If its request were queued, requests of callers with less waiting work would
+   * overtake it, and it would be refused after a wait.
    */
   isOverPart (entry: WaitingRequest, capacity: number, now: number): boolean {
     const lane = this.getLane(entry)
@@ -106,7 +107,7 @@
     return (own + entry.costMs) * flow.waitingKeys > callerPart
   }
 
-  /** Whether the entry would take its lane's backlog past its bound. */
+  /** Whether the entry would take its lane's backlog above its limit. */
   isFull (entry: WaitingRequest, capacity: number, now: number): boolean {
     if (this.count >= this.options.maxQueued) return true
     const slots = this.countLaneSlots(entry.isLong, capacity, now)
@@ -114,7 +115,7 @@
     return lane.count > 0 && (lane.waitingCostMs + entry.costMs) / slots > this.limitBacklog(entry.isLong, entry.costMs, now)
   }
 
-  /** Bound on the work that waits in the entry's lane, in milliseconds of one slot. */
+  /** Limit of the waiting work in the entry's lane, in milliseconds of one slot. */
   limitLaneWork (entry: WaitingRequest, capacity: number, now: number): number {
     const lane = this.getLane(entry)
     const byTime = this.limitBacklog(entry.isLong, entry.costMs, now) * this.countLaneSlots(entry.isLong, capacity, now)
@@ -122,15 +123,15 @@
     return Math.min(byTime, byCount)
   }
 
-  /** Bound on the wait of a lane, in milliseconds. */
+  /** Limit of the wait in a lane, in milliseconds. */
   limitBacklog (isLong: boolean, costMs: number, now: number): number {
     return isLong ? Math.max(this.options.maxWaitMs, LONG_BACKLOG_JOBS * costMs) : this.bound.limit(costMs, now)
   }
 
   /**
-   * Makes room by the latest request of the caller with the most waiting, or, where the
-   * newcomer's caller itself has too much, of its key with the most; undefined where those
-   * don't have clearly more than the newcomer.
+   * Drops and returns the latest request of the caller with the most waiting work or, where the
+   * entry's own caller is over its fair share, of that caller's key with the most; undefined if
+   * that caller or key does not have clearly more waiting work than the entry's.
    */
   dropHottest (entry: WaitingRequest, isOverPart: boolean): WaitingRequest | undefined {
     const { caller, key } = entry.request
@@ -147,7 +148,7 @@
     return lane.dropLatest(flow)
   }
 
-  /** Why there is no room for the entry. */
+  /** Reason for refusing the entry where the backlog is full. */
   explainFull (entry: WaitingRequest): RefusalReason {
     const lane = this.getLane(entry)
     const fairPart = lane.waitingCostMs / Math.max(1, lane.waitingCallers)
@@ -155,7 +156,7 @@
     return lane.waitingCallers > 1 && own >= fairPart ? RefusalReason.overFairShare : RefusalReason.queueFull
   }
 
-  /** Whether caller and key have no more than their part of what waits. */
+  /** Whether the caller and the key have at most their fair share of the waiting work. */
   isWithinPart (entry: WaitingRequest, capacity: number, now: number): boolean {
     const lane = this.getLane(entry)
     const flow = lane.findFlow(entry.request.caller)
--- a/packages/almondrelay/src/request/admission/fairFlow.ts
+++ b/packages/almondrelay/src/request/admission/fairFlow.ts
@@ -3,19 +3,19 @@
 
 interface KeyQueue {
   name: string
-  /** Virtual time at which the key's next request may start. */
+  /** Start tag of fair queueing: the virtual time at which the key's next request may start. */
   tag: number
-  /** In order of arrival. */
+  /** Waiting requests in order of arrival. */
   waiting: WaitingRequest[]
-  /** Milliseconds of one slot. */
+  /** Expected cost of the waiting requests, in milliseconds of one slot. */
   waitingCostMs: number
 }
 
-/** One caller's waiting requests in a lane, divided fairly among the caller's keys. */
+/** One caller's waiting requests in a lane, with start-time fair queueing among the caller's keys. */
 export class FairFlow {
-  /** Virtual time of the lane at which the caller's next request may start. */
+  /** Start tag: the virtual time of the lane at which the caller's next request may start. */
   tag = 0
-  /** Milliseconds of one slot. */
+  /** Expected cost of the waiting requests, in milliseconds of one slot. */
   waitingCostMs = 0
   count = 0
   private readonly keys = new Map<string, KeyQueue>()
@@ -52,7 +52,7 @@
     return this.longest.find()?.waitingCostMs ?? 0
   }
 
-  /** Removes and returns the request whose key has the oldest claim. */
+  /** Removes and returns the next request of the key with the lowest start tag. */
   take (): WaitingRequest | undefined {
     const queue = this.order.find()
     const entry = queue?.waiting.shift()
@@ -64,7 +64,7 @@
     return entry
   }
 
-  /** Removes and returns the latest request of the key with the most waiting. */
+  /** Removes and returns the latest request of the key with the most waiting work. */
   dropLatest (): WaitingRequest | undefined {
     const longest = this.longest.find()
     const entry = longest?.waiting.pop()
@@ -90,7 +90,7 @@
     this.waitingCostMs = this.count === 0 ? 0 : this.waitingCostMs - entry.costMs
   }
 
-  /** Forgets a key with nothing waiting: bounded by what waits, whatever keys callers make up. */
+  /** Removes a key without waiting requests, so that memory is bounded by the waiting requests and not by the keys that callers invent. */
   private reconcileOrder (queue: KeyQueue): void {
     if (queue.waiting.length > 0) {
       this.order.set(queue, queue.tag)
--- a/packages/almondrelay/src/request/admission/fairLane.ts
+++ b/packages/almondrelay/src/request/admission/fairLane.ts
@@ -2,30 +2,30 @@
 import { IndexedHeap } from './indexedHeap.js'
 import type { WaitingRequest } from './waitingRequest.js'
 
-/** Callers without waiting requests whose recent use is remembered. */
+/** Maximum number of callers without waiting requests whose recent usage is kept. */
 const MAX_REMEMBERED = 10_000
 
 /**
  * Start-time fair queueing among callers, weighted by expected cost.
  *
- * Answers one hot caller: in arrival order a caller that sends half of all requests
- * takes half of the slots and makes all others wait behind its backlog. Here each
- * caller's requests carry the virtual time at which its earlier ones end, the lowest goes
- * first, and so the hot caller waits behind itself. Each operation is logarithmic in the
- * number of callers that wait.
+ * In order of arrival, a hot caller that sends half of all requests takes half of the slots
+ * and delays all others behind its backlog. Here each caller has a start tag, the virtual
+ * time at which its earlier requests end. The caller with the lowest tag is served first, so
+ * that a hot caller waits only behind its own requests. Each operation is logarithmic in the
+ * number of waiting callers.
  */
 export class FairLane {
-  /** Milliseconds of one slot. */
+  /** Expected cost of the waiting requests, in milliseconds of one slot. */
   waitingCostMs = 0
   count = 0
   private readonly flows = new Map<string, FairFlow>()
   private readonly order = new IndexedHeap<FairFlow>()
   private readonly hottest = new IndexedHeap<FairFlow>()
-  /** Callers with nothing waiting that are still ahead of the virtual time. */
+  /** Callers without waiting requests whose start tag is still ahead of the virtual time. */
   private readonly ahead = new IndexedHeap<FairFlow>()
   private virtualTime = 0
 
-  /** Callers that wait. */
+  /** Number of callers with waiting requests. */
   get waitingCallers (): number {
     return this.order.size
   }
@@ -44,7 +44,7 @@
     this.reconcile(flow)
   }
 
-  /** Notes the use of a slot by a caller whose request never waited. */
+  /** Charges a caller for a slot used by a request that did not wait. */
   touch (caller: string, costMs: number): void {
     if (this.count === 0) return
     const flow = this.flows.get(caller) ?? this.addFlow(caller)
@@ -52,7 +52,7 @@
     this.reconcile(flow)
   }
 
-  /** Corrects a caller's claim once the true cost is known; one with nothing waiting is not held to a single long answer. */
+  /** Corrects a caller's start tag once the true cost is known; a caller without waiting requests is not charged for a single long answer. */
   update (caller: string, differenceMs: number): void {
     const flow = this.flows.get(caller)
     if (flow === undefined || flow.count === 0) return
@@ -72,7 +72,7 @@
     return entry
   }
 
-  /** Takes an entry out of its turn; its caller's claim moves as if it had been its turn. */
+  /** Takes an entry out of turn; its caller is charged as if the entry had been taken in turn. */
   takeEntry (entry: WaitingRequest): void {
     const flow = this.flows.get(entry.request.caller)
     if (flow === undefined || !flow.remove(entry)) return
@@ -94,7 +94,7 @@
     return this.hottest.find()
   }
 
-  /** Removes and returns the latest request of the key with the most waiting of that caller. */
+  /** Removes and returns the latest request of the caller's key with the most waiting work. */
   dropLatest (flow: FairFlow): WaitingRequest | undefined {
     const entry = flow.dropLatest()
     if (entry === undefined) return undefined
@@ -112,7 +112,7 @@
     return this.flows.get(caller)?.waitingCostMs ?? 0
   }
 
-  /** Work by which a caller is ahead of the virtual time, in milliseconds of one slot: what waits and what it lately had. */
+  /** Work by which a caller is ahead of the virtual time, in milliseconds of one slot: its waiting requests and its recent usage. */
   estimateLead (caller: string): number {
     const flow = this.flows.get(caller)
     return flow === undefined ? 0 : flow.waitingCostMs + Math.max(0, flow.tag - this.virtualTime)
@@ -146,12 +146,12 @@
     if (this.count === 0 || this.ahead.size > MAX_REMEMBERED) this.pruneAhead()
   }
 
-  /** A caller whose claim is not ahead of the virtual time is as good as a new one. */
+  /** Removes callers whose start tag is not ahead of the virtual time; they are treated like new ones. */
   private pruneBehind (): void {
     while ((this.ahead.findPriority() ?? Infinity) <= this.virtualTime) this.removeFlow(this.ahead.take())
   }
 
-  /** With nothing waiting there is no contention, and so no claim to remember. */
+  /** Bounds the number of idle callers; without waiting requests there is no contention, and no usage has to be kept. */
   private pruneAhead (): void {
     const kept = this.count === 0 ? 0 : MAX_REMEMBERED
     while (this.ahead.size > kept) this.removeFlow(this.ahead.take())
--- a/packages/almondrelay/src/request/admission/indexedHeap.ts
+++ b/packages/almondrelay/src/request/admission/indexedHeap.ts
@@ -1,6 +1,6 @@
 /**
- * A binary heap, lowest priority first, whose items can be moved and removed in
- * logarithmic time. Items of equal priority leave in the order in which they were set.
+ * A binary heap, lowest priority value first, whose items can be moved and removed in
+ * logarithmic time. Items of equal priority are taken in the order in which they were set.
  */
 export class IndexedHeap<Item> {
   private readonly entries: Array<HeapEntry<Item>> = []
--- a/packages/almondrelay/src/request/admission/queuedRequest.ts
+++ b/packages/almondrelay/src/request/admission/queuedRequest.ts
@@ -1,15 +1,15 @@
-/** What admission knows of a request. */
+/** The properties of a request on which admission is decided. */
 export interface QueuedRequest {
-  /** Unique among the requests that wait or run at this host for the service. */
+  /** Unique among the requests of the service that wait or run at this host. */
   id: string
-  /** Who asks; shares are counted by it. */
+  /** Caller of the request; slots are shared fairly among callers. */
   caller: string
-  /** The key within the caller that fairness counts by; empty where the caller names none. */
+  /** Key of the request; a caller's slots are shared fairly among its keys. Empty if the caller gives none. */
   key: string
-  /** Method and first path part, such as `GET /balances`; costs are learnt by it. */
+  /** Method and first path segment, such as `GET /balances`; costs are measured by route. */
   route: string
-  /** Monotonic milliseconds after which an answer is of no use. */
+  /** Monotonic time in milliseconds after which an answer is of no use. */
   deadlineAt: number
-  /** Monotonic milliseconds. */
+  /** Monotonic time in milliseconds. */
   arrivedAt: number
 }
--- a/packages/almondrelay/src/request/admission/retryAfterSpreader.ts
+++ b/packages/almondrelay/src/request/admission/retryAfterSpreader.ts
@@ -1,27 +1,27 @@
 import type { Random } from '../random.js'
 
-/** Longest time that is asked of a caller; after it the picture is too old to plan by. */
+/** Maximum delay; the state from which it is computed is too old after that. */
 const MAX_RETRY_AFTER_MS = 10_000
-/** Shortest: a caller's round trip over a region's link and back, 2 x 55 ms. */
+/** Minimum delay: a round trip over a link between regions, 2 x 55 ms. */
 const MIN_RETRY_AFTER_MS = 110
-/** Used where nothing drains: no target of the service can be used. */
+/** Delay where the backlog does not drain, because no target of the service can be used. */
 const IDLE_RETRY_AFTER_MS = 1_000
 
 /**
- * Works out when refused callers are asked to come back.
+ * Computes the delay after which refused callers should retry.
  *
- * Answers callers that retry: with one fixed Retry-After all that a burst refused come
- * back together and are the next burst. Each refusal books the work that it will bring
- * after what waits and what was booked before it; the booking drains at the rate of the
- * slots. The moment is then drawn at random over the booked time, so that the refused
- * return about as fast as they can be served.
+ * With one fixed Retry-After, all callers that were refused in a burst retry together and
+ * cause the next burst. Here each refusal adds the cost of its expected retry to the waiting
+ * work and to the retries expected before it; this sum drains at the rate of the slots. The
+ * delay is drawn at random over the time needed for it, so that refused callers retry about
+ * as fast as they can be served.
  */
 export class RetryAfterSpreader {
-  /** Milliseconds that it takes to serve the refused that have not come back yet. */
+  /** Time needed to serve the refused requests that have not been retried yet, in milliseconds. */
   private bookedMs = 0
   private advancedAt = 0
 
-  /** `backlogMs`: milliseconds until what waits is drained. */
+  /** `backlogMs`: milliseconds until the waiting requests are drained. */
   compute (costMs: number, backlogMs: number, capacity: number, now: number, random: Random): number {
     this.bookedMs = Math.max(0, this.bookedMs - Math.max(0, now - this.advancedAt))
     this.advancedAt = now
--- a/packages/almondrelay/src/request/admission/routeCosts.ts
+++ b/packages/almondrelay/src/request/admission/routeCosts.ts
@@ -1,14 +1,14 @@
-/** Weight of one answer in a route's mean: the last 20 or so answers decide. */
+/** Weight of one answer in a route's moving mean: it covers about the last 20 answers. */
 const MEAN_WEIGHT = 0.1
-/** Weight of one answer in the typical cost, over all routes: the last 200 or so decide. */
+/** Weight of one answer in the typical cost over all routes: it covers about the last 200 answers. */
 const TYPICAL_WEIGHT = 0.01
-/** A route whose mean is this many times the typical cost is long work. */
+/** A route whose mean cost is more than this many times the typical cost is long work. */
 const LONG_FACTOR = 8
-/** Mean deviations above the mean that count as the tail; of exponential times 99% lie below. */
+/** The tail cost is the mean plus this many mean deviations; 99% of exponential times lie below it. */
 const TAIL_DEVIATIONS = 5
-/** Answers after which a mean of exponential times is within about half of the true one. */
+/** Answers after which the mean of exponential times is within about half of the true mean. */
 const MIN_ANSWERS = 5
-/** Routes kept; the least recently used is forgotten, so that made-up paths can't fill the memory. */
+/** Routes kept; the least recently used is evicted, so that invented paths can't fill the memory. */
 const MAX_ROUTES = 1_000
 
 interface RouteCost {
@@ -19,12 +19,12 @@
 }
 
 /**
- * Learns what a request costs, in milliseconds of one slot, by route.
+ * Estimates the cost of a request by route, in milliseconds of one slot, from measured service times.
  *
- * Answers long jobs among short ones: without a cost by route every request counts the
- * same, and a few long jobs take every slot. The typical cost is a geometric mean: 5% of
- * jobs that are 50 times longer raise it by a factor of 1.2 only, whereas they raise the
- * arithmetic mean by 3.5 and would so hide themselves.
+ * Without a cost by route every request counts the same, and a few long jobs among short ones
+ * take every slot. The typical cost is a geometric mean: 5% of jobs that are 50 times longer
+ * raise it only by a factor of 1.2. They raise the arithmetic mean by a factor of 3.5, so that
+ * they would no longer count as long.
  */
 export class RouteCosts {
   private readonly routes = new Map<string, RouteCost>()
@@ -39,13 +39,13 @@
     return this.routes.get(route)?.meanMs ?? this.estimateTypical()
   }
 
-  /** Expected cost; undefined until enough answers came for others to be judged by it. */
+  /** Expected cost; undefined until enough answers have been measured to judge other answers by it. */
   find (route: string): number | undefined {
     const cost = this.routes.get(route)
     return cost === undefined || cost.answers < MIN_ANSWERS ? undefined : cost.meanMs
   }
 
-  /** Cost that few requests of the route pass, in milliseconds of one slot. */
+  /** Cost that few requests of the route exceed, in milliseconds of one slot. */
   estimateTail (route: string): number {
     const cost = this.routes.get(route)
     return cost === undefined ? this.estimateTypical() : cost.meanMs + TAIL_DEVIATIONS * cost.deviationMs
--- a/packages/almondrelay/src/request/admission/shortDemand.ts
+++ b/packages/almondrelay/src/request/admission/shortDemand.ts
@@ -1,22 +1,22 @@
-/** Time over which demand is averaged, in milliseconds: long against one answer, short against a working day. */
+/** Time constant of the demand's moving average, in milliseconds: long compared with one answer, short compared with a working day. */
 const AVERAGING_MS = 5_000
 /**
- * Slots kept above the mean demand, in square roots of it (square-root staffing): the
- * number in service of a Poisson stream of mean `a` has the standard deviation sqrt(a).
+ * Slots reserved above the mean demand, in square roots of the demand (square-root staffing): for
+ * Poisson arrivals, the number of requests in service with mean `a` has the standard deviation sqrt(a).
  */
 const SPARE_FACTOR = 0.5
-/** Part of the slots that long work always may use, so that a flood of short work can't starve it. */
+/** Share of the slots that long work may always use, so that a large amount of short work can't starve it. */
 const LONG_MIN_SHARE = 0.25
 
 /**
- * How many slots the short work needs, learnt from what arrives.
+ * Estimates the number of slots that short work needs from the arriving requests.
  *
- * Answers long jobs among short ones: without slots kept for them, short requests wait
- * for the end of jobs 50 times their length whenever those hold every slot. A fixed part
- * would be wasted where little short work comes, and too small where much does.
+ * Without reserved slots, short requests wait for jobs of 50 times their length whenever
+ * such jobs occupy every slot. A fixed share of the slots would be wasted when little short
+ * work arrives, and too small when much does.
  */
 export class ShortDemand {
-  /** Milliseconds of work that arrived, decayed. */
+  /** Exponentially decayed sum of the work that has arrived, in milliseconds of one slot. */
   private workMs = 0
   private advancedAt = 0
 
@@ -25,7 +25,7 @@
     this.workMs += costMs
   }
 
-  /** The most slots of `capacity` that long work may hold at once; at least one. */
+  /** Maximum number of the `capacity` slots that long work may use at once; at least one. */
   limitLong (capacity: number, now: number): number {
     this.advance(now)
     const demand = this.workMs / AVERAGING_MS
--- a/packages/almondrelay/src/request/admission/waitingSet.ts
+++ b/packages/almondrelay/src/request/admission/waitingSet.ts
@@ -1,10 +1,13 @@
 import { IndexedHeap } from './indexedHeap.js'
 import type { WaitingRequest } from './waitingRequest.js'
 
-/** What waits: by request, by the latest time at which it can start, and by the time at which it may go before all others. */
+/**
+ * The waiting requests, indexed by id, by their latest possible start, and by the time from which they count as
+ * overtaken and may start first.
+ */
 export class WaitingSet {
   private readonly entries = new Map<string, WaitingRequest>()
-  /** By the latest time at which a request can start and still be answered in time. */
+  /** Ordered by the latest time at which a request can start and still be answered in time. */
   private readonly latestStarts = new IndexedHeap<WaitingRequest>()
   private readonly passedBy = new IndexedHeap<WaitingRequest>()
 
@@ -28,22 +31,22 @@
     this.passedBy.remove(entry)
   }
 
-  /** The earliest of the latest starts; undefined while nothing waits. */
+  /** Returns the earliest of the latest possible starts; undefined while no request waits. */
   findNextStart (): number | undefined {
     return this.latestStarts.findPriority()
   }
 
-  /** One that can't start in time any more; undefined where there is none. */
+  /** Returns a request that can no longer start in time; undefined if there is none. */
   findLate (now: number): WaitingRequest | undefined {
     return (this.latestStarts.findPriority() ?? Infinity) < now ? this.latestStarts.find() : undefined
   }
 
-  /** The one that has been passed by for the longest time over its own; undefined where there is none. */
+  /** Returns the request that has been overtaken for the longest; undefined if there is none. */
   findPassedBy (now: number): WaitingRequest | undefined {
     return (this.passedBy.findPriority() ?? Infinity) <= now ? this.passedBy.find() : undefined
   }
 
-  /** Looks at a request that was passed by again at a later time. */
+  /** Postpones the time from which a request counts as overtaken. */
   schedule (entry: WaitingRequest, passedByAt: number): void {
     this.passedBy.set(entry, passedByAt)
   }
--- a/packages/almondrelay/src/request/answer.ts
+++ b/packages/almondrelay/src/request/answer.ts
@@ -2,7 +2,7 @@
 import type { Outcome } from './outcome.js'
 import type { RefusalReason } from './refusalReason.js'
 
-/** The final answer to a request, held whole before its first byte goes to the caller. */
+/** The final answer to a request, buffered completely before its first byte is sent to the caller. */
 export interface Answer {
   outcome: Outcome
   /** HTTP status. */
@@ -10,10 +10,10 @@
   headers: AnswerHeader[]
   body: Uint8Array
   reason?: RefusalReason
-  /** Message for people, which names the remedy. */
+  /** Human-readable message that names the remedy. */
   message?: string
-  /** Milliseconds after which asking again is worthwhile. */
+  /** Delay after which the caller should retry, in milliseconds. */
   retryAfterMs?: number
-  /** The target that ran it, where one did. */
+  /** The target that ran the request, if any did. */
   target?: string
 }
--- a/packages/almondrelay/src/request/buildRefusal.ts
+++ b/packages/almondrelay/src/request/buildRefusal.ts
@@ -6,13 +6,13 @@
 interface RefusalParts {
   outcome: Outcome
   reason: RefusalReason
-  /** What is wrong and what to do instead. */
+  /** Human-readable cause and remedy. */
   message: string
   retryAfterMs?: number
   target?: string
 }
 
-/** The answer that tells a caller why it doesn't get the target's. */
+/** Builds the answer to a request for which there is no answer of a target, with the reason. */
 export function buildRefusal (parts: RefusalParts): Answer {
   const body = JSON.stringify({
     outcome: parts.outcome,
--- a/packages/almondrelay/src/request/choice/choiceReason.ts
+++ b/packages/almondrelay/src/request/choice/choiceReason.ts
@@ -1,10 +1,10 @@
-/** Why a target was chosen; for the log line. */
+/** Why a target was chosen; stated in log lines. */
 const ChoiceReason = {
-  /** The only one that could take it. */
+  /** It was the only target that could take the request. */
   only: 'only',
-  /** The least expected wait of two drawn at random. */
+  /** It had the lower expected wait of two targets drawn at random. */
   leastExpectedWait: 'least-expected-wait',
-  /** One careful request to a target that had failed, was slow or silent. */
+  /** A single trial request to a target that had failed, was slow or did not answer. */
   trial: 'trial'
 } as const
 
--- a/packages/almondrelay/src/request/choice/coldRamp.ts
+++ b/packages/almondrelay/src/request/choice/coldRamp.ts
@@ -1,22 +1,21 @@
-/** Share of the slots with which a cold target begins. */
+/** Share of its slots that a cold target may use at first. */
 const INITIAL_SHARE = 0.25
-/** Growth for each warm answer, as a part of the present limit, and at least `MIN_GROWTH` slots. */
+/** Growth for each warm answer, as a share of the current limit, but at least `MIN_GROWTH_SLOTS`. */
 const GROWTH = 0.125
 const MIN_GROWTH = 0.5
 /** An answer within this many times the typical latency counts as warm. */
 const WARM_RATIO = 2.5
-/** Slow answers that a cold target is forgiven, one at a time, before it counts as slow. */
+/** Number of slow answers that a cold target may give before it counts as slow. */
 const COLD_ANSWERS = 64
 
 /**
- * The number of requests that a cold target may run at once, grown by its own answers.
+ * Limits the number of requests that a cold target may run at once, and raises the limit with its answers.
  *
- * Answers a big move on to idle targets: with cold caches they answer several times
- * slower, and at full load that is above what they can do; the queue before them then
- * grows and every caller waits. Here a target begins at a quarter of its slots and each
- * answer at about the typical latency raises that by an eighth; a slow one doesn't. From a
- * quarter to all of 6 slots takes 9 warm answers, from one to all of 3 slots 4. A clock plays no part: a target
- * that gets no work stays where it is.
+ * When much work moves to idle targets, these answer several times slower with cold caches and
+ * can't carry the full load; their queue then grows and every caller waits. Here a target begins
+ * with a quarter of its slots. Each answer at about the typical latency raises the limit by an
+ * eighth; a slow answer doesn't. It takes 9 warm answers from a quarter to all of 6 slots, and 4
+ * from one to all of 3 slots. Time alone doesn't raise the limit: a target without work keeps it.
  */
 export class ColdRamp {
   private limit: number
@@ -27,17 +26,17 @@
     this.coldAnswersLeft = coldAnswers
   }
 
-  /** For a target that is new, was long idle or comes back: slow answers are forgiven at first. */
+  /** Creates the ramp of a target that is new, was idle for long or returns: slow answers are tolerated at first. */
   static createCold (slots: number): ColdRamp {
     return new ColdRamp(slots, Math.max(1, slots * INITIAL_SHARE), COLD_ANSWERS)
   }
 
-  /** For a target whose trial went well: it grows from one slot and nothing is forgiven. */
+  /** Creates the ramp of a target that passed its trial: the limit grows from one slot and slow answers are not tolerated. */
   static createTried (slots: number): ColdRamp {
     return new ColdRamp(slots, 1, 0)
   }
 
-  /** Requests that may run at once; at least one. */
+  /** Maximum number of requests that may run at once; at least one. */
   get allowed (): number {
     return Math.max(1, Math.floor(this.limit))
   }
@@ -50,7 +49,7 @@
     return this.coldAnswersLeft > 0 && !this.isDone
   }
 
-  /** `ratio`: the answer's latency over the typical one. */
+  /** Records an answer. `ratio`: its latency divided by the typical latency. */
   observe (ratio: number): void {
     if (ratio <= WARM_RATIO) {
       this.limit = Math.min(this.slots, this.limit + Math.max(MIN_GROWTH, this.limit * GROWTH))
@@ -59,7 +58,7 @@
     this.coldAnswersLeft = Math.max(0, this.coldAnswersLeft - 1)
   }
 
-  /** The target said that it is full with `running` requests. */
+  /** Lowers the limit after the target shed a request while running `running` requests. */
   observeShed (running: number): void {
     this.limit = Math.max(1, Math.min(this.limit, running) * (1 - GROWTH))
   }
--- a/packages/almondrelay/src/request/choice/latencyNorm.ts
+++ b/packages/almondrelay/src/request/choice/latencyNorm.ts
@@ -1,10 +1,13 @@
 const WEIGHT = 0.02
-/** An answer counts for at most this many times the norm: a tenfold slower target among two doesn't become the norm. */
+/**
+ * An answer counts for at most this many times the typical ratio, so that one of two targets that is ten times slower
+ * does not become typical.
+ */
 const CLIP = 3
 
-/** What is typical for a service at this host: the yardstick for each target's answers. */
+/** The typical latency of a service at this host, against which each target's answers are compared. */
 export class LatencyNorm {
-  /** Latency over the expected one, averaged over all targets. */
+  /** Measured latency divided by the expected latency, averaged over all targets. */
   ratio = 1
 
   learn (ratio: number): void {
--- a/packages/almondrelay/src/request/choice/openTargets.ts
+++ b/packages/almondrelay/src/request/choice/openTargets.ts
@@ -7,18 +7,18 @@
   headroom: number
 }
 
-/** The targets that may take one more request, for drawing at random in constant time. */
+/** The targets that can take one more request, from which one is drawn at random in constant time. */
 export class OpenTargets {
-  /** Sum of what the targets may run at once. */
+  /** Number of requests that all targets may run at once. */
   capacity = 0
-  /** Sum of what they may run beyond what runs. */
+  /** Number of further requests that the targets may run in addition to those running. */
   headroom = 0
   private readonly open: TargetState[] = []
   private readonly positions = new Map<TargetState, number>()
   private readonly counts = new Map<TargetState, TargetCounts>()
   private readonly trials = new IndexedHeap<TargetState>()
 
-  /** To be called after each change of a target. */
+  /** Updates the sums and sets; must be called after each change of a target. */
   reconcile (state: TargetState): void {
     const headroom = Math.max(0, state.allowed - state.running)
     this.setCounts(state, { allowed: state.allowed, headroom })
@@ -39,7 +39,7 @@
     return this.open[Math.floor(random() * this.open.length)]
   }
 
-  /** Looks through all open targets from a random one on. */
+  /** Finds an allowed target among all open targets, beginning at a random one. */
   find (allow: (state: TargetState) => boolean, random: Random): TargetState | undefined {
     const candidates = [...this.open]
     const offset = Math.floor(random() * candidates.length)
@@ -50,7 +50,7 @@
     return undefined
   }
 
-  /** The target whose trial is due and that runs nothing. */
+  /** Finds a target whose trial is due and that runs no request. */
   findTrialDue (now: number): TargetState | undefined {
     return (this.trials.findPriority() ?? Infinity) <= now ? this.trials.find() : undefined
   }
--- a/packages/almondrelay/src/request/choice/reportTrust.ts
+++ b/packages/almondrelay/src/request/choice/reportTrust.ts
@@ -1,10 +1,10 @@
 import type { TargetReport } from './targetReport.js'
 
-/** Time in which a report loses two thirds of its weight: some eight reports at one a quarter second. */
+/** Time in which a report loses about two thirds of its weight: the time of eight reports at four a second. */
 const FADE_MS = 2_000
 const HIGH_LOAD = 0.8
 const LOW_LOAD = 0.5
-/** Latency over the typical one that fits a target with free slots, and one that does not. */
+/** Ratio to the typical latency up to which an answer indicates free slots, and from which it indicates that there are none. */
 const FAST_RATIO = 1.5
 const SLOW_RATIO = 3
 const CONTRADICTED = 0.85
@@ -13,12 +13,12 @@
 const BELIEVED = 0.5
 
 /**
- * Weighs what a target says of itself against what is seen of it.
+ * Weighs a target's load reports against the latency of its answers.
  *
- * Answers load reports that lag or lie. A report only ever adds to the load that is
- * counted here, so a target can't draw work by claiming to be free; it fades with age; and
- * each answer that contradicts it takes trust from the target's later reports, so that one
- * that claims to be full while it answers fast does not stay unused.
+ * Load reports may lag or be wrong. A report can only add to the load that this host counts
+ * itself, so a target can't attract work by reporting free slots. The weight of a report decays
+ * with its age, and each answer that contradicts it reduces the trust in the target's later
+ * reports, so that a target that reports full load while it answers fast does not stay unused.
  */
 export class ReportTrust {
   private trust = 1
@@ -30,19 +30,19 @@
     this.reportedAt = now
   }
 
-  /** Whether the latest report says unhealthy and is to be believed. */
+  /** Whether the latest report says that the target is unhealthy and the trust in its reports is sufficient. */
   get isUnhealthy (): boolean {
     return this.report !== undefined && !this.report.healthy && this.trust > BELIEVED
   }
 
-  /** Load above `ownLoad` (0 to 1) to count, after age and trust. */
+  /** Reported load in excess of `ownLoad` (0 to 1), weighted by age and trust. */
   estimateExtraLoad (ownLoad: number, now: number): number {
     if (this.report === undefined) return 0
     const extra = Math.min(1, this.report.load) - ownLoad
     return extra <= 0 ? 0 : extra * this.weigh(now)
   }
 
-  /** `ratio`: an own answer's latency over the typical one. */
+  /** Compares an answer with the report. `ratio`: the latency of an answer to this host divided by the typical latency. */
   observe (ratio: number, now: number): void {
     if (this.report === undefined || now - this.reportedAt > FADE_MS) return
     const isContradicted = this.isContradicted(this.report, ratio)
--- a/packages/almondrelay/src/request/choice/targetChoice.ts
+++ b/packages/almondrelay/src/request/choice/targetChoice.ts
@@ -1,16 +1,16 @@
 import type { ChoiceReason } from './choiceReason.js'
 
-/** A chosen target, with what was known of it. */
+/** A chosen target, with the state on which it was chosen. */
 export interface TargetChoice {
   target: string
   reason: ChoiceReason
-  /** Expected wait, relative to an idle target of typical speed; lower is better. */
+  /** Expected wait relative to that at an idle target of typical speed; lower is better. */
   score: number
-  /** The same of the other target that was drawn. */
+  /** Score of the other target that was drawn. */
   otherScore?: number
-  /** Own answers' latency over the expected cost, averaged. */
+  /** Average latency of the answers to this host, divided by the expected cost. */
   slowness: number
   running: number
-  /** Requests that it may run at once at present, after ramp and trial. */
+  /** Requests that it may currently run at once, as limited by ramp and trial. */
   allowed: number
 }
--- a/packages/almondrelay/src/request/choice/targetChooser.ts
+++ b/packages/almondrelay/src/request/choice/targetChooser.ts
@@ -8,34 +8,33 @@
 import type { TargetResult } from './targetResult.js'
 import { TargetState } from './targetState.js'
 
-/** Random draws before all open targets are looked through. */
+/** Number of random draws before all open targets are searched. */
 const MAX_DRAWS = 8
 
 /**
- * Chooses, for one service at one host, the target that a request goes to.
+ * Chooses, for one service at one host, the target to which a request is sent.
  *
- * Load patterns answered: a target that turns slow, one that accepts and never answers,
- * one whose load report lies, cold targets. Without it (round robin) each gets its full
- * part of the requests, and a slow target's share of the slots fills until it holds most of
- * what runs.
+ * Handles targets that become slow, accept requests and never answer, send wrong load reports
+ * or have cold caches. With round robin each of these would get its full share of the requests,
+ * and a slow target would fill its slots until most of the running requests were there.
  *
- * - Own measurement first: the latency of own answers over the expected cost, failures and
- *   overdue attempts; reported load second (`ReportTrust`).
- * - A slow, failing or silent target loses its work and gets it back by one trial at a
- *   time, then a ramp (`ColdRamp`).
- * - Two candidates are drawn at random and the one with the lower expected wait is taken,
- *   so that hosts which act on the same picture don't all pick the same target.
+ * - The host's own measurements come first: the latency of answers compared with the expected
+ *   cost, failures and overdue attempts. Reported load comes second (`ReportTrust`).
+ * - A slow, failing or silent target gets no more work. It returns by one trial request at a
+ *   time, followed by a ramp (`ColdRamp`).
+ * - Two candidates are drawn at random and the one with the lower expected wait is chosen,
+ *   so that hosts with the same state don't all choose the same target.
  *
- * `choose` changes no counts: `start` does, once the slot is really taken.
+ * `choose` does not count the request as running: `start` does, once the slot is actually taken.
  */
 export class TargetChooser {
   private readonly states = new Map<string, TargetState>()
   private readonly open = new OpenTargets()
   private readonly norm = new LatencyNorm()
-  /** The last draw of chance, by which trials of several hosts are spread. */
+  /** The last random number drawn, by which the trials of several hosts are spread in time. */
   private spread = 0
 
-  /** Replaces the targets; what is known of those that stay is kept. */
+  /** Replaces the targets; the state of those that remain is kept. */
   adoptTargets (targets: readonly TargetSpec[], now: number): void {
     const names = new Set(targets.map((target) => target.name))
     for (const [name, state] of this.states) {
@@ -51,17 +50,17 @@
     }
   }
 
-  /** Requests that may run at once on all targets, after ramps, trials and leaving. */
+  /** Requests that may run at once on all targets, as limited by ramps and trials, without leaving targets. */
   get capacity (): number {
     return this.open.capacity
   }
 
-  /** Requests that could start at once, by this host's own count. */
+  /** Requests that could start immediately, by this host's own count. */
   get headroom (): number {
     return this.open.headroom
   }
 
-  /** Requests that `choose` would place now: the headroom, or one trial of a target that lost its work. */
+  /** Number of requests that `choose` would place now: the headroom, or one trial of an ejected target. */
   countReady (now: number): number {
     return this.open.headroom > 0 ? this.open.headroom : Number(this.open.findTrialDue(now) !== undefined)
   }
@@ -77,9 +76,9 @@
   }
 
   /**
-   * Chooses a target with a free slot; undefined where none may take work now.
+   * Chooses a target with a free slot; undefined if no target may take work now.
    *
-   * `free`: free slots that this host may use, by target. `exclude`: targets already tried.
+   * `free`: free slots that this host may use, by target. `exclude`: targets that were already tried.
    */
   choose (free: ReadonlyMap<string, number>, exclude: ReadonlySet<string>, now: number, random: Random): TargetChoice | undefined {
     this.spread = random()
@@ -93,7 +92,10 @@
     return { ...this.describeChoice(best, ChoiceReason.leastExpectedWait, now), otherScore: this.estimateScore(rest, now) }
   }
 
-  /** Counts a request as running. `expectedMs`: its expected latency, as `AdmissionQueue.findCost` gives; where it is absent the target is not judged by this answer's latency. */
+  /**
+   * Counts a request as running. `expectedMs`: its expected latency from `AdmissionQueue.findCost`; if it is
+   * undefined, the target is not judged by the latency of this answer.
+   */
   start (target: string, now: number, expectedMs?: number): void {
     const state = this.states.get(target)
     if (state === undefined) return
@@ -119,7 +121,7 @@
     this.open.reconcile(state)
   }
 
-  /** By drain order or host list. */
+  /** Marks a target as leaving because of a drain or of the host list. */
   markLeaving (target: string, leaving: boolean, _now: number): void {
     const state = this.states.get(target)
     if (state === undefined) return
@@ -127,7 +129,7 @@
     this.open.reconcile(state)
   }
 
-  /** What is known of one target; for status and log lines. */
+  /** Describes the state of one target, for status and log lines. */
   describeTarget (target: string, now: number): TargetChoice | undefined {
     const state = this.states.get(target)
     return state === undefined ? undefined : this.describeChoice(state, ChoiceReason.only, now)
@@ -150,7 +152,7 @@
     return this.open.find(allow, random)
   }
 
-  /** Notices, when a target is about to get work, that it is silent or has been idle. */
+  /** Checks a target that is about to get work: makes it cold again after a long idle time, and ejects it if it is silent. */
   private check (state: TargetState, now: number): boolean {
     if (state.checkIdle(now)) this.open.reconcile(state)
     if (!state.isSilent(now)) return true
--- a/packages/almondrelay/src/request/choice/targetReport.ts
+++ b/packages/almondrelay/src/request/choice/targetReport.ts
@@ -1,8 +1,8 @@
-/** What a target's health endpoint says; it lags and may mislead. */
+/** Load report of a target's health endpoint; it lags and may be wrong. */
 export interface TargetReport {
-  /** Part of the target's slots in use, 0 to 1. */
+  /** Share of the target's slots in use, 0 to 1. */
   load: number
-  /** It takes no new work. */
+  /** The target takes no new work. */
   leaving: boolean
   healthy: boolean
 }
--- a/packages/almondrelay/src/request/choice/targetResult.ts
+++ b/packages/almondrelay/src/request/choice/targetResult.ts
@@ -2,10 +2,10 @@
 export interface TargetResult {
   /** Time for which the request held its slot, in milliseconds. */
   latencyMs: number
-  /** A whole answer came, whatever its HTTP status below 500. */
+  /** A complete answer with an HTTP status below 500 was received. */
   ok: boolean
-  /** The target answered that it is full. */
+  /** The target shed the request because it is full. */
   shed?: boolean
-  /** The caller gave it up: it says nothing about the target unless it was overdue. */
+  /** The caller cancelled the request: its latency says nothing about the target unless it was overdue. */
   cancelled?: boolean
 }
--- a/packages/almondrelay/src/request/choice/targetState.ts
+++ b/packages/almondrelay/src/request/choice/targetState.ts
@@ -3,44 +3,44 @@
 import { ReportTrust } from './reportTrust.js'
 import type { TargetResult } from './targetResult.js'
 
-/** Weight of one answer in the target's slowness: a target that turns 10 times slower passes `SLOW_RATIO` with its second answer. */
+/** Weight of one answer in the target's slowness: a target that becomes 10 times slower exceeds `SLOW_RATIO` with its second answer. */
 const SLOWNESS_WEIGHT = 0.2
 /**
- * Slowness, over the typical one of the service, at which a target loses its work. Far from
- * what healthy targets with exponential service times reach by chance; see docs/design/target-choice.md.
+ * Slowness, relative to the typical slowness of the service, above which a target is ejected. Far above what
+ * healthy targets with exponential service times reach by chance; see docs/design/target-choice.md.
  */
 const SLOW_RATIO = 4
 const MAX_RATIO = 20
-/** A running request is overdue after this many times its expected latency, and at least the floor. */
+/** A running request is overdue after this many times its expected latency, but not before `MIN_OVERDUE_MS`. */
 const OVERDUE_FACTOR = 10
 const OVERDUE_MIN_MS = 200
-/** Patience with a request whose cost is not known, in milliseconds. */
+/** Time after which a request of unknown cost is overdue, in milliseconds. */
 const UNKNOWN_PATIENCE_MS = 5_000
 const FAILURES_TO_EJECT = 2
 const SHEDS_TO_EJECT = 8
 const FIRST_BACKOFF_MS = 500
 const MAX_BACKOFF_MS = 8_000
-/** Part of the backoff by which trials of different hosts are spread. */
+/** Share of the backoff over which the trials of different hosts are spread. */
 const TRIAL_SPREAD = 0.5
-/** A target unused for this long is cold again; the time to live of a cache entry is usually above it. */
+/** A target unused for this long counts as cold again; cache entries usually have a longer time to live. */
 const IDLE_MS = 60_000
 
 interface RunningAttempt {
   startedAt: number
-  /** Silence after which the attempt is overdue, in milliseconds. */
+  /** Time without an answer after which the attempt is overdue, in milliseconds. */
   patienceMs: number
   expectedMs: number | undefined
 }
 
-/** What one host knows of one target of a service, from its own requests first. */
+/** State of one target of a service at one host, measured primarily by the host's own requests. */
 export class TargetState {
   isOrderedToLeave = false
   isReportedLeaving = false
-  /** Own latency over the expected one, averaged over the last answers. */
+  /** Measured latency divided by the expected latency, averaged over the last answers to this host. */
   slowness = 1
-  /** Set while the target gets trials only: the next one's time, or later. */
+  /** Set while the target gets only trial requests: the earliest time of the next trial. */
   trialAt: number | undefined
-  /** Chance, 0 to 1, by which the next trial is put off. */
+  /** Random number, 0 to 1, by which the next trial is delayed. */
   trialSpread = 0
   readonly reports = new ReportTrust()
   private ramp: ColdRamp
@@ -64,7 +64,7 @@
     return this.isOrderedToLeave || this.isReportedLeaving
   }
 
-  /** Requests that it may run at once: none while leaving or between trials. */
+  /** Requests that the target may run at once, trials apart: none while it is leaving or ejected. */
   get allowed (): number {
     if (this.isLeaving || this.trialAt !== undefined) return 0
     return this.ramp.allowed
@@ -85,7 +85,7 @@
     this.lastUsedAt = now
   }
 
-  /** Returns the attempt's latency over its expected one; undefined where it says nothing. */
+  /** Returns the attempt's latency divided by its expected latency; undefined where the ratio says nothing about the target. */
   finish (result: TargetResult, typicalRatio: number, now: number): number | undefined {
     const attempt = this.takeAttempt(now - result.latencyMs)
     this.lastUsedAt = now
@@ -99,14 +99,14 @@
   }
 
   /**
-   * Whether it accepts requests and answers none. Noticed by what runs, because no answer
-   * will ever tell: some attempt has been overdue with nothing good heard since it began.
+   * Whether the target accepts requests and does not answer them. As no answer shows this, it is
+   * inferred from the running attempts: one is overdue, and no successful answer was received since it began.
    */
   isSilent (now: number): boolean {
     return this.attempts.some((attempt) => now - Math.max(attempt.startedAt, this.lastGoodAt) > attempt.patienceMs)
   }
 
-  /** Takes its work away; one trial follows after a time that doubles with each failure. */
+  /** Stops sending requests to the target; a trial follows after a delay that doubles with each ejection. */
   eject (now: number): void {
     const isWaiting = this.trialAt !== undefined && this.trialAt > now
     if (isWaiting) return
@@ -114,7 +114,7 @@
     this.backoffMs = Math.min(MAX_BACKOFF_MS, this.backoffMs * 2)
   }
 
-  /** A target that had no work for long has cold caches; its share grows anew. */
+  /** Restarts the ramp of a target without work for a long time, as its caches are cold; returns whether it did. */
   checkIdle (now: number): boolean {
     if (this.running > 0 || now - this.lastUsedAt < IDLE_MS) return false
     this.lastUsedAt = now
@@ -144,7 +144,7 @@
     return undefined
   }
 
-  /** An answer whose latency says nothing shows at least that the target is not silent. */
+  /** Records an answer to a request of unknown cost: it shows only that the target is not silent. */
   private observeUnknown (now: number): undefined {
     this.failures = 0
     this.sheds = 0
--- a/packages/almondrelay/src/request/contract/__tests__/parseCallerRequest.test.ts
+++ b/packages/almondrelay/src/request/contract/__tests__/parseCallerRequest.test.ts
@@ -13,7 +13,7 @@
 
 const getReason = (result: ReturnType<typeof parse>) => 'refusal' in result ? `${result.refusal.status} ${result.refusal.reason}` : 'parsed'
 
-test('each broken header is refused as not run, with its own reason', () => {
+test('each invalid or missing header is refused with its own reason', () => {
   const whole = { 'Idempotency-Key': ID, 'Almondrelay-Home': 'akl-a-1;5' }
   assert.is(getReason(parse({})), '428 missing-id')
   assert.is(getReason(parse({ 'Idempotency-Key': ID })), '428 missing-home')
@@ -31,7 +31,7 @@
   assert.is(getReason(parse({}, 'POST', '/search/x')), 'parsed')
 })
 
-test('a deadline is limited, and the service\'s own stands in for none', () => {
+test('a deadline is limited to the maximum', () => {
   const result = parse({ 'Almondrelay-Deadline': '5000' }, 'GET')
   assert.is('request' in result ? result.request.deadlineMs : 0, 1_000)
 })
--- a/packages/almondrelay/src/request/contract/callerRequest.ts
+++ b/packages/almondrelay/src/request/contract/callerRequest.ts
@@ -1,26 +1,26 @@
 import type { AnswerHeader } from '../answerHeader.js'
 import type { HomeReference } from './homeReference.js'
 
-/** A request that keeps the caller contract, its body whole. */
+/** A valid request under the caller contract, with its complete body. */
 export interface CallerRequest {
-  /** The caller's id, or one made here where the request is idempotent and has none. */
+  /** The caller's id, or a generated one if the request is idempotent and has none. */
   id: string
-  /** Wall time that the id carries; undefined where the id isn't a UUIDv7. */
+  /** Wall-clock time contained in the id; undefined if the request had no id of its own. */
   idTime: number | undefined
-  /** Attempt number that the caller states: 0 for the first, one more after each `not-run`. */
+  /** Attempt number given by the caller: 0 for the first, one more after each `not-run`. */
   attempt: number | undefined
   service: string
   caller: string
-  /** What fairness counts by within a caller; empty where the caller names none. */
+  /** Key of the request; a caller's slots are shared fairly among its keys. Empty if the caller gives none. */
   key: string
   method: string
-  /** Path and query as the target sees them. */
+  /** Path and query as sent to the target. */
   path: string
   headers: AnswerHeader[]
   body: Uint8Array
   idempotent: boolean
   /** Present on every non-idempotent request. */
   home: HomeReference | undefined
-  /** Milliseconds that were left when the request came in. */
+  /** Milliseconds that remained when the request arrived. */
   deadlineMs: number
 }
--- a/packages/almondrelay/src/request/contract/headerName.ts
+++ b/packages/almondrelay/src/request/contract/headerName.ts
@@ -12,6 +12,6 @@
   host: 'almondrelay-host',
   retryAfter: 'retry-after',
   retryAfterMs: 'almondrelay-retry-after-ms',
-  /** A target's promise that it didn't run the request. */
+  /** States that the target did not run the request. */
   notRun: 'almondrelay-not-run'
 } as const
--- a/packages/almondrelay/src/request/contract/homeReference.ts
+++ b/packages/almondrelay/src/request/contract/homeReference.ts
@@ -1,4 +1,4 @@
-/** The host, and its life, that alone may start a non-idempotent request. */
+/** The host and incarnation that alone may start a non-idempotent request. */
 export interface HomeReference {
   host: string
   incarnation: number
--- a/packages/almondrelay/src/request/contract/parseCallerRequest.ts
+++ b/packages/almondrelay/src/request/contract/parseCallerRequest.ts
@@ -23,17 +23,17 @@
 const DEADLINE = /^\d{1,9}$/
 const ATTEMPT = /^\d{1,6}$/
 const ANONYMOUS = 'anonymous'
-/** Characters of a malformed value that a message repeats. */
+/** Maximum number of characters of a malformed value that a message quotes. */
 const SHOWN = 40
 
-/** Ends the reading of a request that breaks the contract. */
+/** Thrown while a request is parsed that violates the caller contract. */
 class ContractBreach extends Error {
   constructor (readonly reason: RefusalReason, message: string) {
     super(message)
   }
 }
 
-/** Checks a request against the caller contract; a refusal names the header and what to send instead. */
+/** Parses and checks a request by the caller contract; a refusal names the header and what to send instead. */
 export function parseCallerRequest (raw: RawRequest, service: ServiceSpec, limits: ContractLimits, makeId: () => string): ParseResult {
   try {
     return { request: readRequest(raw, service, limits, makeId) }
@@ -72,7 +72,7 @@
   throw new ContractBreach(RefusalReason.bodyTooLarge, `the body has ${raw.body.byteLength} bytes: send at most ${service.maxBodyBytes}`)
 }
 
-/** What a request needs that may run only once. */
+/** Checks that a request that must not run twice has an id and a home. */
 function requireOnce (raw: RawRequest, id: string | undefined, home: HomeReference | undefined): void {
   const about = `${raw.method} ${raw.path.slice(0, SHOWN)} is not idempotent`
   if (id === undefined) throw new ContractBreach(RefusalReason.missingId, `${about}: send Idempotency-Key, a UUIDv7 that stays the same on every retry`)
--- a/packages/almondrelay/src/request/contract/rawRequest.ts
+++ b/packages/almondrelay/src/request/contract/rawRequest.ts
@@ -1,6 +1,6 @@
 import type { AnswerHeader } from '../answerHeader.js'
 
-/** A caller's request as it came in, before its checks. */
+/** A caller's request as received, before it is checked. */
 export interface RawRequest {
   method: string
   service: string
--- a/packages/almondrelay/src/request/createSeededRandom.ts
+++ b/packages/almondrelay/src/request/createSeededRandom.ts
@@ -1,6 +1,6 @@
 import type { Random } from './random.js'
 
-/** Mulberry32: small, fast, good enough to spread ties and retries; not for secrets. */
+/** Creates a Mulberry32 generator: small, fast and good enough for breaking ties and spreading retries; not for secrets. */
 export function createSeededRandom (seed: number): Random {
   let state = seed >>> 0
   return () => {
--- a/packages/almondrelay/src/request/outcome.ts
+++ b/packages/almondrelay/src/request/outcome.ts
@@ -1,10 +1,10 @@
-/** What became of a request; never a guess. */
+/** Whether a request was run; stated as `run` or `notRun` only where that is certain. */
 const Outcome = {
-  /** The answer is the target's, whole. */
+  /** The request was run; the answer is the target's complete answer. */
   run: 'run',
-  /** It was not run and never will be. */
+  /** The request was not run and never will be. */
   notRun: 'not-run',
-  /** It may have run; asking again can't make it run twice. */
+  /** The request may have run; retrying can't make it run twice. */
   unknown: 'unknown'
 } as const
 
--- a/packages/almondrelay/src/request/placement/__tests__/regionLoss.test.ts
+++ b/packages/almondrelay/src/request/placement/__tests__/regionLoss.test.ts
@@ -13,8 +13,8 @@
 for (const deployment of deployments) {
   for (const size of deployment.services) {
     test(`loss of a region at 70% load: ${deployment.name}/${size.service}`, () => {
-      // A region fails. Its callers come to the hosts of the two others, which stand at 70%. Sent on by latency
-      // alone they fill the next region and its link past what they carry, and that one fails too.
+      // When a region fails, its callers move to the hosts of the two others, which are at 70% load. Placed by
+      // latency alone, their requests would overload the next region and its link, and that region fails too.
       const random = createSeededRandom(61)
       const regions = ['r0', 'r1', 'r2']
       const slots = Math.round(size.targets * size.slots / deployment.zones)
@@ -72,7 +72,7 @@
   }
 }
 
-test('a refusal names what is used up', () => {
+test('a refusal states the limit that is used up', () => {
   const zone: ZoneView = { availabilityZone: 'b', region: 'r1', freeSlots: 5, slots: 9, ageMs: 500, draining: false, reachable: true, latencyMs: 20 }
   const input: PlacementInput = { service: 's', ownZone: 'a', ownRegion: 'r0', callerRegion: 'r0', spill: true, zones: [zone], caps: [], remainingMs: 1_000, costMs: 20 }
   const random = createSeededRandom(1)
--- a/packages/almondrelay/src/request/placement/capView.ts
+++ b/packages/almondrelay/src/request/placement/capView.ts
@@ -1,12 +1,12 @@
 import type { RefusalReason } from '../refusalReason.js'
 
-/** A limit of a region, link or shift as this host may use it now. */
+/** This host's current share of a limit of a region, link or shift. */
 export interface CapView {
-  /** Region that the work would come from; absent where the limit is of the region itself. */
+  /** Region from which the work comes; undefined for the limit of a region itself. */
   fromRegion?: string
   toRegion: string
-  /** Requests more that this host may start under it. */
+  /** Further requests that this host may start under the limit. */
   free: number
-  /** What a caller is told when it is used up. */
+  /** Reason given to callers when the limit is used up. */
   reason: RefusalReason
 }
--- a/packages/almondrelay/src/request/placement/choosePlacement.ts
+++ b/packages/almondrelay/src/request/placement/choosePlacement.ts
@@ -7,13 +7,13 @@
 import type { PlacementZone } from './placementZone.js'
 import type { ZoneView } from './zoneView.js'
 
-/** Time in which a report of another zone's free slots loses two thirds of its weight; zones report each second. */
+/** Time in which a report of another zone's free slots loses about two thirds of its weight; zones report every second. */
 const REPORT_FADE_MS = 2_000
-/** A report older than this says nothing: the zone is tried last, and only with a credit. */
+/** A report older than this is ignored: the zone then counts as without free slots. */
 const REPORT_LIMIT_MS = 10_000
-/** Part of the expected cost by which equal zones are shuffled, so that hosts with one picture don't all ask the same zone. */
+/** Random share added to the expected cost of other zones, so that hosts with the same state don't all ask the same zone. */
 const SPREAD = 0.2
-/** Zones to try; each costs a round trip, and a request has not the time for more. */
+/** Maximum number of zones to try; each costs a round trip, and a request has no time for more. */
 const MAX_ZONES = 4
 const RETRY_MS = 1_000
 
@@ -24,15 +24,15 @@
 /**
  * Orders the availability zones in which a request may run.
  *
- * Answers the loss of a region and a zone that is full: without it the work of a lost
- * region goes where the latency is lowest, fills the next region above what it carries
- * and takes that down too. Order: the policy's region for the caller, drawn by weight;
- * within it the own zone, then by cost (latency there and back, and expected wait); then
- * the policy's other regions; then, where the policy lets work spill, the rest by cost.
- * A zone other than the own one is only offered where its last report, faded with age,
- * shows free slots, and may be used only with a credit that it grants; so a stale report
- * costs a question and never an overload. A region whose limit, link or shift cap is used
- * up is left out, and is the reason of the refusal when nothing else is left.
+ * If requests simply went where the latency is lowest, the work of a lost region or a full
+ * zone would overload the next region and take it down too. The order is: the region that
+ * the policy gives the caller, drawn by weight; within it the own zone, then the others by
+ * cost (round-trip time and expected wait); then the policy's other regions; then, if the
+ * policy allows spilling, all other regions by cost. A zone other than the own one is
+ * offered only if its last report, weighted by age, shows free slots, and may be used only
+ * with a credit that it grants, so that a stale report costs one query but never causes an
+ * overload. A region whose limit, link or shift cap is used up is left out, and gives the
+ * reason of the refusal if no other region is left.
  */
 export function choosePlacement (input: PlacementInput, _now: number, random: Random): Placement {
   const candidates = input.zones.filter((zone) => zone.reachable && !zone.draining && zone.slots > 0)
@@ -52,13 +52,16 @@
 
 const getWeight = (input: PlacementInput, region: string): number => input.weights?.[region] ?? 0
 
-/** Free slots to believe in: a report fades with age and ends at its limit. */
+/**
+ * Estimates the free slots of a zone: the reported number decays with age, but a report of one or more counts as at
+ * least one until it is too old.
+ */
 const estimateFree = (zone: ZoneView): number => {
   if (zone.ageMs > REPORT_LIMIT_MS) return 0
   return zone.freeSlots * Math.max(Math.exp(-zone.ageMs / REPORT_FADE_MS), Math.min(1, 1 / Math.max(1, zone.freeSlots)))
 }
 
-/** There and back, and the wait there. */
+/** Round-trip time plus the expected wait in the zone. */
 const estimateCost = (zone: ZoneView): number => 2 * zone.latencyMs + (zone.waitMs ?? 0)
 
 const allowRegion = (input: PlacementInput, zone: ZoneView): boolean =>
@@ -67,14 +70,14 @@
 const findBlockingCap = (input: PlacementInput, zone: ZoneView): CapView | undefined =>
   input.caps.find((cap) => cap.free < 1 && cap.toRegion === zone.region && allowCapSource(input, cap, zone))
 
-/** A limit of the region itself holds for all work; one of a link or shift for work that comes from its region. */
+/** Whether a limit applies to the request: that of a region applies to all work, that of a link or shift to work from its source region. */
 const allowCapSource = (input: PlacementInput, cap: CapView, zone: ZoneView): boolean => {
   if (cap.fromRegion === undefined) return true
   if (cap.fromRegion === zone.region) return false
   return cap.fromRegion === input.ownRegion || cap.fromRegion === input.callerRegion
 }
 
-/** Draws the region by the policy's weights; the own region where there is no policy. */
+/** Draws a region by the policy's weights; returns the own region if there is no policy. */
 function pickRegion (input: PlacementInput, zones: readonly ZoneView[], random: Random): string {
   const regions = [...new Set(zones.map((zone) => zone.region))]
   const total = regions.reduce((sum, region) => sum + getWeight(input, region), 0)
--- a/packages/almondrelay/src/request/placement/placementInput.ts
+++ b/packages/almondrelay/src/request/placement/placementInput.ts
@@ -1,20 +1,20 @@
 import type { CapView } from './capView.js'
 import type { ZoneView } from './zoneView.js'
 
-/** What a placement is decided on. */
+/** Input of a placement decision. */
 export interface PlacementInput {
   service: string
   ownZone: string
   ownRegion: string
-  /** Region that the caller is nearest to. */
+  /** Region nearest to the caller. */
   callerRegion: string
-  /** Weight by serving region, of the steering policy for the caller's region; absent where there is none. */
+  /** Weights by serving region in the steering policy for the caller's region; undefined without a policy. */
   weights?: Readonly<Record<string, number>>
-  /** Whether work may go to a region that the policy gives no weight. */
+  /** Whether work may be sent to a region to which the policy gives no weight. */
   spill: boolean
   zones: readonly ZoneView[]
   caps: readonly CapView[]
-  /** Milliseconds that remain for the answer. */
+  /** Milliseconds until the deadline. */
   remainingMs: number
   /** Expected service time, in milliseconds. */
   costMs: number
--- a/packages/almondrelay/src/request/placement/placementReason.ts
+++ b/packages/almondrelay/src/request/placement/placementReason.ts
@@ -1,10 +1,10 @@
-/** Why a zone stands where it does in the order; for the log line. */
+/** Reason for a zone's position in the order; stated in log lines. */
 const PlacementReason = {
-  /** The host's own zone, or one that the policy names. */
+  /** A zone in a region to which the policy gives a weight. */
   policy: 'policy',
   ownZone: 'own-zone',
   ownRegion: 'own-region',
-  /** Another region, because the policy's regions have no free slots. */
+  /** A zone in a region outside the policy, used when the policy's regions have no free slots. */
   spill: 'spill'
 } as const
 
--- a/packages/almondrelay/src/request/placement/placementZone.ts
+++ b/packages/almondrelay/src/request/placement/placementZone.ts
@@ -1,12 +1,12 @@
 import type { PlacementReason } from './placementReason.js'
 
-/** One zone to try. */
+/** An availability zone to try. */
 export interface PlacementZone {
   availabilityZone: string
   region: string
   reason: PlacementReason
-  /** Expected time lost on the way and in the queue, in milliseconds. */
+  /** Expected time on the network and in the queue, in milliseconds. */
   costMs: number
-  /** A credit of that zone is needed before the request leaves. */
+  /** Whether a credit of the zone is needed before the request is sent. */
   needsCredit: boolean
 }
--- a/packages/almondrelay/src/request/placement/zoneView.ts
+++ b/packages/almondrelay/src/request/placement/zoneView.ts
@@ -1,18 +1,18 @@
-/** What a host knows of one availability zone and service. */
+/** Last known state of one service in one availability zone. */
 export interface ZoneView {
   availabilityZone: string
   region: string
-  /** Free slots: exact for the own zone, as last reported for others. */
+  /** Free slots: exact for the own zone, as last reported for other zones. */
   freeSlots: number
-  /** Slots in total, free or not. */
+  /** Total number of slots, free or in use. */
   slots: number
   /** Age of the report, in milliseconds; 0 for the own zone. */
   ageMs: number
-  /** It takes no new work. */
+  /** The zone takes no new work. */
   draining: boolean
   reachable: boolean
-  /** One way, in milliseconds. */
+  /** One-way latency, in milliseconds. */
   latencyMs: number
-  /** Expected wait for a slot there, in milliseconds, where known. */
+  /** Expected wait for a slot in the zone, in milliseconds, if known. */
   waitMs?: number
 }
--- a/packages/almondrelay/src/request/random.ts
+++ b/packages/almondrelay/src/request/random.ts
@@ -1,2 +1,2 @@
-/** A source of chance in [0, 1), seeded in tests. */
+/** A source of random numbers in [0, 1); seeded in tests. */
 export type Random = () => number
--- a/packages/almondrelay/src/request/refusalStatus.ts
+++ b/packages/almondrelay/src/request/refusalStatus.ts
@@ -1,6 +1,6 @@
 import { RefusalReason } from './refusalReason.js'
 
-/** HTTP status with which each reason is told to the caller. */
+/** HTTP status sent to the caller for each refusal reason. */
 export const refusalStatus: Readonly<Record<RefusalReason, number>> = {
   [RefusalReason.unknownService]: 404,
   [RefusalReason.invalidHeader]: 400,
--- a/packages/almondrelay/src/request/retry/__tests__/decideRetry.test.ts
+++ b/packages/almondrelay/src/request/retry/__tests__/decideRetry.test.ts
@@ -8,9 +8,9 @@
 
 const input: RetryInput = { idempotent: true, bytesMayHaveLeft: true, outcome: AttemptOutcome.lost, attempts: 1, deadlineAt: 1_000, costMs: 20 }
 
-test('a non-idempotent request whose bytes may have left is tried again only when it is known not to have run', () => {
-  // A manager approves leave; the connection to the target breaks after the request left.
-  // Were it sent to another target, the leave would be deducted twice.
+test('a non-idempotent request whose bytes may have been sent is retried only when it is known not to have run', () => {
+  // The connection to the target is lost after a request that approves leave was sent. If the
+  // request were sent to another target, the leave would be deducted twice.
   for (const outcome of Object.values(AttemptOutcome)) {
     const decision = decideRetry({ ...input, idempotent: false, outcome }, new RetryBudget(), 0)
     const isKnownNotRun = outcome === AttemptOutcome.refused || outcome === AttemptOutcome.fenced
@@ -19,7 +19,7 @@
   assert.is(decideRetry({ ...input, idempotent: false, bytesMayHaveLeft: false }, new RetryBudget(), 0).kind, 'retry')
 })
 
-test('retries end with the attempts, the time and the budget', () => {
+test('retries are limited by attempts, time and budget', () => {
   const budget = new RetryBudget()
   assert.equal(decideRetry({ ...input, attempts: 3 }, budget, 0), { kind: 'stop', reason: 'too-many-attempts' })
   assert.equal(decideRetry({ ...input, deadlineAt: 20 }, budget, 0), { kind: 'stop', reason: 'no-time-left' })
@@ -27,9 +27,9 @@
   assert.equal(decideRetry(input, budget, 0), { kind: 'stop', reason: 'budget-spent' })
 })
 
-test('a failure of everything adds at most a tenth of what was served, and then next to nothing', () => {
-  // A region fails: every attempt of 1,000 requests a second is lost for 10 s.
-  // Were each tried three times, what is left would get three times the load.
+test('when every request fails, retries stay within a tenth of the served requests and then nearly stop', () => {
+  // A region fails: every attempt of 1,000 requests a second is lost for 10 s. If each
+  // request were tried three times, the remaining targets would get three times the load.
   const budget = new RetryBudget()
   for (let request = 0; request < 10_000; request += 1) budget.addServed(request)
   let retries = 0
@@ -41,7 +41,7 @@
   assert.ok(retries <= 12, `${retries} retries`)
 })
 
-test('a hedge takes no slot that another waits for and is for idempotent work alone', () => {
+test('a hedge takes no slot for which another request waits, and only idempotent requests are hedged', () => {
   const hedge = { idempotent: true, attempts: 1, startedAt: 0, deadlineAt: 1_000, costMs: 20, freeSlots: 1, waiting: 0 }
   assert.equal(decideHedge(hedge, new RetryBudget(), 40), { kind: 'wait', afterMs: 60 })
   assert.is(decideHedge(hedge, new RetryBudget(), 100).kind, 'hedge')
--- a/packages/almondrelay/src/request/retry/attemptOutcome.ts
+++ b/packages/almondrelay/src/request/retry/attemptOutcome.ts
@@ -1,16 +1,16 @@
-/** How an attempt at a target or peer ended without an answer to pass on. */
+/** How an attempt at a target or peer ended. */
 const AttemptOutcome = {
   /** No connection was made, or it was refused. */
   unreachable: 'unreachable',
-  /** The target promised that it did not run the request. */
+  /** The target stated that it did not run the request. */
   refused: 'refused',
-  /** It was fenced: it did not run and never will. */
+  /** The request was fenced: it did not run and never will. */
   fenced: 'fenced',
-  /** The connection broke or went silent after the request had left. */
+  /** After the request was sent, the connection was lost or there was no answer in time. */
   lost: 'lost',
-  /** The answer was broken off. */
+  /** The answer was cut short. */
   broken: 'broken',
-  /** A whole answer came; nothing is to be retried. */
+  /** A complete answer was received; there is no reason to retry. */
   answered: 'answered'
 } as const
 
--- a/packages/almondrelay/src/request/retry/decideHedge.ts
+++ b/packages/almondrelay/src/request/retry/decideHedge.ts
@@ -2,16 +2,16 @@
 import type { HedgeInput } from './hedgeInput.js'
 import type { RetryBudget } from './retryBudget.js'
 
-/** Multiple of the expected cost after which an answer is late: with exponential service times 1 in 150 answers is. */
+/** Multiple of the expected cost after which an answer counts as late: 1 in 150 answers, if service times are exponential. */
 const HEDGE_AFTER = 5
 const HEDGE_MIN_MS = 50
 
 /**
- * Decides whether a second attempt is started beside one that is late.
+ * Decides whether a second attempt, a hedge, is started while the first one is late.
  *
- * Answers a target that accepts and never answers: without it each request that was sent
- * there waits for its deadline. For idempotent work only, once a request, while slots are
- * free and nothing waits for them, and out of the same budget as retries.
+ * Without hedges, each request sent to a target that accepts requests and never answers waits
+ * until its deadline. Only idempotent requests are hedged, once each, while slots are free and
+ * no request waits for them. A hedge is charged to the same budget as a retry.
  */
 export function decideHedge (input: HedgeInput, budget: RetryBudget, now: number): HedgeDecision {
   if (!input.idempotent || input.attempts > 1) return { kind: 'never' }
--- a/packages/almondrelay/src/request/retry/decideRetry.ts
+++ b/packages/almondrelay/src/request/retry/decideRetry.ts
@@ -4,18 +4,18 @@
 import type { RetryInput } from './retryInput.js'
 import { RetryReason } from './retryReason.js'
 
-/** The first and two more: with a tenth of targets failing, one in a thousand requests fails all three. */
+/** The first attempt and two retries: with a tenth of the targets failing, one in a thousand requests fails all three. */
 const MAX_ATTEMPTS = 3
 
-/** Outcomes that promise that the attempt did not run and never will. */
+/** Outcomes which guarantee that the attempt did not run and never will. */
 const NOT_RUN: readonly AttemptOutcome[] = [AttemptOutcome.refused, AttemptOutcome.fenced]
 
 /**
- * Decides whether a failed attempt is followed by another, and spends the budget for it.
+ * Decides whether a failed attempt is retried, and charges the retry to the budget.
  *
- * A non-idempotent request is never tried again once a byte of it may have left, unless
- * the attempt is known not to have run: a second run would deduct leave twice. The check
- * of the budget comes last, so that only a retry that is made is paid for.
+ * A non-idempotent request is never retried once a byte of it may have been sent, unless
+ * the attempt is known not to have run: a second run would, for example, deduct leave twice.
+ * The budget is checked last, so that only retries that are made are charged.
  */
 export function decideRetry (input: RetryInput, budget: RetryBudget, now: number): RetryDecision {
   if (input.outcome === AttemptOutcome.answered) return stop(RetryReason.answered)
--- a/packages/almondrelay/src/request/retry/retryBudget.ts
+++ b/packages/almondrelay/src/request/retry/retryBudget.ts
@@ -1,23 +1,23 @@
-/** Extra attempts for each request served. */
+/** Retries and hedges allowed for each served request. */
 const FRACTION = 0.1
-/** Tokens kept at most: what 100 served requests earn, so that a quiet hour doesn't pay for a storm. */
+/** Maximum number of tokens, earned by 100 served requests, so that an hour of low load doesn't allow a retry storm. */
 const MAX_TOKENS = 10
-/** Tokens a second that are earned without traffic, so that a service with few requests can retry at all. */
+/** Tokens added each second regardless of traffic, so that a service with few requests can retry at all. */
 const IDLE_TOKENS_PER_SECOND = 0.2
 
 /**
- * Bounds retries and hedges to a fraction of the work that was served.
+ * Limits retries and hedges to a share of the served requests.
  *
- * Answers the failure of a region or service: where each failed request is tried again,
- * twice the load falls on what is left, and with three attempts three times. A bucket that
- * only served requests fill keeps the extra load at a tenth, and at nothing once nothing
- * is served. One for each service and host; times are monotonic milliseconds.
+ * When a region or service fails and each failed request is retried once, the remaining targets
+ * get twice the load; with three attempts they get three times the load. A token bucket that is
+ * filled by served requests keeps the extra load at a tenth, and near zero once no request is
+ * served. There is one for each service and host; times are monotonic milliseconds.
  */
 export class RetryBudget {
   private tokens = MAX_TOKENS / 2
   private advancedAt: number | undefined
 
-  /** Notes a request that was served whole. */
+  /** Records a request that got a complete answer. */
   addServed (now: number): void {
     this.advance(now)
     this.tokens = Math.min(MAX_TOKENS, this.tokens + FRACTION)
@@ -28,14 +28,14 @@
     return this.tokens >= 1
   }
 
-  /** Spends one extra attempt; false where the budget has none. */
+  /** Takes a token for one extra attempt; returns false if there is none. */
   use (now: number): boolean {
     if (!this.allow(now)) return false
     this.tokens -= 1
     return true
   }
 
-  /** Extra attempts left. */
+  /** Number of extra attempts that remain. */
   get left (): number {
     return Math.floor(this.tokens)
   }
--- a/packages/almondrelay/src/request/retry/retryDecision.ts
+++ b/packages/almondrelay/src/request/retry/retryDecision.ts
@@ -1,6 +1,6 @@
 import type { RetryReason } from './retryReason.js'
 
-/** Whether to try again, and why not. */
+/** Whether to retry, or the reason why not. */
 export type RetryDecision =
   | { kind: 'retry', afterMs: number }
   | { kind: 'stop', reason: RetryReason }
--- a/packages/almondrelay/src/request/retry/retryInput.ts
+++ b/packages/almondrelay/src/request/retry/retryInput.ts
@@ -1,14 +1,14 @@
 import type { AttemptOutcome } from './attemptOutcome.js'
 
-/** What a retry is decided on. */
+/** Input of a retry decision. */
 export interface RetryInput {
   idempotent: boolean
-  /** A byte of the request may have left for the target or peer. */
+  /** Whether a byte of the request may have been sent to the target or peer. */
   bytesMayHaveLeft: boolean
   outcome: AttemptOutcome
   /** Attempts made so far. */
   attempts: number
-  /** Monotonic milliseconds. */
+  /** Monotonic time in milliseconds. */
   deadlineAt: number
   /** Expected cost of one more attempt, in milliseconds. */
   costMs: number
--- a/packages/almondrelay/src/request/retry/retryReason.ts
+++ b/packages/almondrelay/src/request/retry/retryReason.ts
@@ -1,4 +1,4 @@
-/** Why no further attempt is made; for the log line. */
+/** Why no further attempt is made; stated in log lines. */
 const RetryReason = {
   answered: 'answered',
   mayHaveRun: 'may-have-run',
--- a/packages/almondrelay/src/request/targetRequest.ts
+++ b/packages/almondrelay/src/request/targetRequest.ts
@@ -1,6 +1,6 @@
 import type { AnswerHeader } from './answerHeader.js'
 
-/** One request as it goes to a target. */
+/** A request as it is sent to a target. */
 export interface TargetRequest {
   method: string
   path: string
--- a/packages/almondrelay/src/version/clientBlocks/addressFamily.ts
+++ b/packages/almondrelay/src/version/clientBlocks/addressFamily.ts
@@ -1,4 +1,4 @@
-/** Families of IP numbers. */
+/** IP address families. */
 const AddressFamily = {
   v4: 4,
   v6: 6
--- a/packages/almondrelay/src/version/clientBlocks/blockChunk.ts
+++ b/packages/almondrelay/src/version/clientBlocks/blockChunk.ts
@@ -1,9 +1,9 @@
 type Keys = Uint32Array | Float64Array
 
 interface ChunkBlock {
-  /** First key. */
+  /** First key of the block. */
   key: number
-  /** Keys that it holds, a power of two. */
+  /** Number of keys in the block, a power of two. */
   size: number
   site: number
 }
@@ -13,23 +13,25 @@
 /**
  * The blocks of one chunk of the address space, with nested prefixes flattened to ranges that
  * don't overlap, so that the longest prefix is found by one binary search. Immutable, so that
- * revisions share the chunks which did not change.
+ * revisions share the chunks that did not change.
  */
 export class BlockChunk {
   private constructor (
-    /** What the chunk was built from: 7 bytes a block of IPv4, 11 of IPv6. */
+    /** The blocks from which the chunk was built: 7 bytes per IPv4 block, 11 per IPv6 block. */
     private readonly blockKeys: Keys,
     private readonly blockBits: Uint8Array,
     private readonly blockSites: Uint16Array,
-    /** First key of each range, and its site: 6 bytes a range of IPv4, 10 of IPv6. */
+    /** First key and region of each range: 6 bytes per IPv4 range, 10 per IPv6 range. */
     private readonly rangeKeys: Keys,
     private readonly rangeSites: Uint16Array
   ) {}
 
   /**
+   * Builds a chunk.
+   *
    * @param blocks In any order.
-   * @param keyCount Keys of a chunk.
-   * @param compareSites Decides which of two sites holds a prefix that both claim: the lesser.
+   * @param keyCount Number of keys in a chunk.
+   * @param compareRegions Orders region numbers: of two regions that list the same prefix, the lesser one holds it.
    */
   static build (blocks: readonly ChunkBlock[], keyCount: number, compareSites: (left: number, right: number) => number): BlockChunk {
     const sorted = [...blocks].sort((left, right) => left.key - right.key || right.size - left.size || compareSites(right.site, left.site))
@@ -53,7 +55,7 @@
     return Array.from(this.blockKeys, (key, index) => ({ key, size: 2 ** (this.blockBits[index] ?? 0), site: this.blockSites[index] ?? NO_SITE }))
   }
 
-  /** The site of the longest prefix that holds the key; 0 where there is none. */
+  /** Finds the region number of the longest prefix that contains the key; 0 if there is none. */
   findSite (key: number): number {
     let low = 0
     let high = this.rangeKeys.length
@@ -71,7 +73,7 @@
   sites: number[]
 }
 
-// Sweeps over the blocks in order, with the blocks around the present key on a stack.
+// Sweeps over the blocks in order, with the blocks that enclose the current key on a stack.
 const buildRanges = (sorted: readonly ChunkBlock[], keyCount: number): Ranges => {
   const ranges: Ranges = { keys: [], sites: [] }
   const around: ChunkBlock[] = []
--- a/packages/almondrelay/src/version/clientBlocks/clientBlock.ts
+++ b/packages/almondrelay/src/version/clientBlocks/clientBlock.ts
@@ -1,11 +1,11 @@
 import type { IpNumber } from './ipNumber.js'
 
-/** A prefix of IP numbers and the site that its callers are nearest to. */
+/** A prefix of IP addresses and the region nearest to its callers. */
 export interface ClientBlock {
-  /** Its first number. */
+  /** First address of the prefix. */
   start: IpNumber
-  /** Bits that are fixed. */
+  /** Prefix length in bits. */
   length: number
-  /** Number of the site in the table that holds the block; from 1. */
+  /** Number of the region in the table that holds the block, from 1. */
   site: number
 }
--- a/packages/almondrelay/src/version/clientBlocks/clientBlocks.ts
+++ b/packages/almondrelay/src/version/clientBlocks/clientBlocks.ts
@@ -6,31 +6,31 @@
 
 type BlocksByRegion = ReadonlyMap<string, readonly string[]>
 
-/** Site numbers have 16 bits; a table that has seen this many names is built anew. */
+/** Region numbers have 16 bits, so a table is rebuilt from scratch once it has assigned this many. */
 const MAX_SITES = 60_000
 
 /**
- * Which region a caller is nearest to, by its IP number: the longest of the prefixes that
- * regions list as their client blocks. Immutable; the table of the next revision shares what did
- * not change. Where two regions list one prefix, the first by name holds it, on every host.
+ * Finds the region nearest to a caller by the caller's IP address: the region that lists the longest
+ * matching prefix among its client blocks. Immutable; the table of the next revision shares the parts
+ * that did not change. If two regions list the same prefix, the first by name holds it, on every host.
  */
 export class ClientBlocks {
   static readonly empty = new ClientBlocks(new Map(), [''], FamilyTable.createEmpty(AddressFamily.v4), FamilyTable.createEmpty(AddressFamily.v6))
 
   private constructor (
     private readonly lists: BlocksByRegion,
-    /** Region names by site number; 0 stands for none. */
+    /** Region names by region number; 0 stands for none. */
     private readonly names: readonly string[],
     private readonly v4: FamilyTable,
     private readonly v6: FamilyTable
   ) {}
 
-  /** Bytes of the typed arrays. */
+  /** Memory used by the typed arrays, in bytes. */
   get bytes (): number {
     return this.v4.bytes + this.v6.bytes
   }
 
-  /** The table of these lists. A list that is the same object as before is taken as unchanged. */
+  /** Returns the table for these lists. A list that is the same object as before counts as unchanged. */
   withRegions (lists: BlocksByRegion): ClientBlocks {
     if (this.names.length + lists.size > MAX_SITES && this !== ClientBlocks.empty) return ClientBlocks.empty.withRegions(lists)
     const names = [...this.names]
@@ -50,7 +50,7 @@
     return new ClientBlocks(lists, names, updateTable(this.v4, AddressFamily.v4), updateTable(this.v6, AddressFamily.v6))
   }
 
-  /** The region that a caller is nearest to; undefined where no block holds its IP number. */
+  /** Returns the region nearest to a caller; undefined if no block contains the caller's IP address. */
   findRegion (ip: string): string | undefined {
     const number = parseIp(ip)
     if (number === undefined) return undefined
@@ -64,8 +64,8 @@
   return known > 0 ? known : names.push(region) - 1
 }
 
-// Blocks whose texts stand in `list` and not in `other`. Two texts of one prefix are two blocks, so
-// that taking out one of them leaves the other.
+// Adds the blocks whose texts are in `list` but not in `other`. Two texts for the same prefix are two
+// blocks, so that removing one of them leaves the other.
 const addDifference = (blocks: ClientBlock[], list: readonly string[] | undefined, other: readonly string[] | undefined, site: number): void => {
   const seen = new Set(other)
   for (const text of list ?? []) {
--- a/packages/almondrelay/src/version/clientBlocks/familyTable.ts
+++ b/packages/almondrelay/src/version/clientBlocks/familyTable.ts
@@ -11,19 +11,19 @@
 
 type CompareSites = (left: number, right: number) => number
 
-/** Key of the chunk that holds the prefixes wider than a chunk; its keys are chunk numbers. */
+/** Number of the chunk for prefixes that are wider than a chunk; the keys of this chunk are chunk numbers. */
 const WIDE = -1
 const BITS = {
   [Family.v4]: { chunk: 8, key: 24 },
   [Family.v6]: { chunk: 16, key: 48 }
 } as const
 
-/** The blocks of one family of IP numbers, by chunks of the address space. Immutable. */
+/** The blocks of one IP address family, by chunks of the address space. Immutable. */
 export class FamilyTable {
   private constructor (
     private readonly family: AddressFamily,
     private readonly chunks: ReadonlyMap<number, BlockChunk>,
-    /** Blocks of IPv6 longer than 64 bits, by their first 64 bits; longest first. */
+    /** IPv6 blocks with prefixes longer than 64 bits, by their first 64 bits; longest prefix first. */
     private readonly deep: ReadonlyMap<string, readonly ClientBlock[]>
   ) {}
 
@@ -35,7 +35,7 @@
     return [...this.chunks.values()].reduce((sum, chunk) => sum + chunk.bytes, 0)
   }
 
-  /** The table after blocks were taken out and put in; chunks that they don't touch are shared. */
+  /** Returns the table with blocks removed and added; chunks without changes are shared. */
   withChanges (removed: readonly ClientBlock[], added: readonly ClientBlock[], compareSites: CompareSites): FamilyTable {
     const changes = new Map<number, Change>()
     const findChange = (block: ClientBlock): Change => {
@@ -51,7 +51,7 @@
     return new FamilyTable(this.family, chunks, this.updateDeep(removed, added, compareSites))
   }
 
-  /** The site of the longest prefix that holds the number; 0 where there is none. */
+  /** Finds the region number of the longest prefix that contains the address; 0 if there is none. */
   findSite (ip: IpNumber): number {
     if (this.deep.size > 0) {
       const site = this.findDeepSite(ip)
@@ -101,7 +101,7 @@
   site: number
 }
 
-// Takes out each removed block once.
+// Removes one occurrence of each removed block.
 const removeOnce = (blocks: ChunkBlock[], removed: readonly ChunkBlock[]): ChunkBlock[] => {
   if (removed.length === 0) return blocks
   const makeKey = ({ key, size, site }: ChunkBlock): string => `${key}/${size}/${site}`
--- a/packages/almondrelay/src/version/clientBlocks/ipNumber.ts
+++ b/packages/almondrelay/src/version/clientBlocks/ipNumber.ts
@@ -1,8 +1,8 @@
 import type { AddressFamily } from './addressFamily.js'
 
 /**
- * An IP number in the parts by which the table is indexed: the chunk (first 8 bits of IPv4,
- * first 16 of IPv6) and the key within it (next 24 or 48 bits), both exact in a double.
+ * An IP address in the parts by which the table is indexed: the chunk (first 8 bits of IPv4,
+ * first 16 of IPv6) and the key within it (next 24 or 48 bits), both represented exactly as a double.
  */
 export interface IpNumber {
   family: AddressFamily
--- a/packages/almondrelay/src/version/clientBlocks/parseIp.ts
+++ b/packages/almondrelay/src/version/clientBlocks/parseIp.ts
@@ -8,7 +8,7 @@
 const GROUPS = 8
 const groups = new Uint16Array(GROUPS)
 
-/** An IP number from its text; undefined where it is none. IPv4 within IPv6 (`::ffff:10.0.0.1`) counts as IPv4. */
+/** Parses an IP address; returns undefined for other text. IPv4-mapped IPv6 addresses (`::ffff:10.0.0.1`) count as IPv4. */
 export function parseIp (text: string): IpNumber | undefined {
   return text.includes(':') ? parseV6(text) : makeV4(parseDotted(text))
 }
@@ -17,7 +17,7 @@
   ? undefined
   : { family: AddressFamily.v4, chunk: Math.floor(value / 0x1000000), key: value % 0x1000000, lowHigh: 0, lowLow: 0 }
 
-// The 32 bits of four decimal numbers, or -1. Read by character codes: this runs for each look-up.
+// Parses four decimal numbers to 32 bits; returns -1 if malformed. Reads character codes for speed, because this runs for each look-up.
 const parseDotted = (text: string): number => {
   let value = 0
   let part = -1
@@ -39,7 +39,7 @@
   return dots === 3 && part >= 0 ? value * 256 + part : -1
 }
 
-// Read by character codes into one array that is used again: a look-up must not leave eight texts behind.
+// Reads character codes into one reused array, so that a look-up does not allocate eight strings.
 const parseV6 = (text: string): IpNumber | undefined => {
   let count = 0
   let gap = -1
@@ -67,7 +67,7 @@
   return makeV6(count, gap, undefined)
 }
 
-// Where the group that begins here ends; -1 where it is the IPv4 part.
+// Finds the end of the group that begins at `start`; returns -1 if it is the IPv4 part.
 const findGroupEnd = (text: string, start: number): number => {
   for (let index = start; index < text.length; index += 1) {
     const code = text.charCodeAt(index)
@@ -90,7 +90,7 @@
   return value
 }
 
-// `gap`: how many groups stand before `::`; -1 where there is none. `dotted`: the IPv4 part, -1 where it is wrong.
+// `gap`: the number of groups before `::`, -1 without `::`. `dotted`: the IPv4 part, -1 if malformed.
 const makeV6 = (read: number, gap: number, dotted: number | undefined): IpNumber | undefined => {
   let count = read
   if (dotted !== undefined) {
--- a/packages/almondrelay/src/version/clientBlocks/parsePrefix.ts
+++ b/packages/almondrelay/src/version/clientBlocks/parsePrefix.ts
@@ -7,7 +7,7 @@
   length: number
 }
 
-/** A prefix such as `10.1.0.0/16` or `2001:db8::/32`, with the bits after its length cleared; undefined for other text. */
+/** Parses a prefix such as `10.1.0.0/16` or `2001:db8::/32` and clears the bits after its length; returns undefined for other text. */
 export function parsePrefix (text: string): Prefix | undefined {
   const slash = text.indexOf('/')
   const lengthText = text.slice(slash + 1)
@@ -26,5 +26,5 @@
   lowLow: clearLow(ip.lowLow, 128 - length)
 })
 
-// Bit operators of the language work on 32 bits only; a key of IPv6 has 48.
+// JavaScript's bit operators work on 32 bits only; an IPv6 key has 48.
 const clearLow = (value: number, bits: number): number => bits <= 0 ? value : value - value % 2 ** bits
--- a/packages/almondrelay/src/version/configuration.ts
+++ b/packages/almondrelay/src/version/configuration.ts
@@ -4,18 +4,18 @@
 
 type ResourceOf<Kind extends ResourceKind> = Extract<Resource, { kind: Kind }>
 
-/** What one revision of the configuration holds; immutable. */
+/** The resources of one revision of the configuration; immutable. */
 export class Configuration {
   static readonly empty = new Configuration(0, new Map())
 
   private constructor (readonly revision: number, private readonly resources: ReadonlyMap<string, Resource>) {}
 
-  /** The configuration of a snapshot. */
+  /** Restores a configuration from a snapshot. */
   static restore (revision: number, resources: readonly Resource[]): Configuration {
     return new Configuration(revision, new Map(resources.map((resource) => [makeKey(resource.kind, resource.name), resource])))
   }
 
-  /** The next revision; undefined unless the change is the one right after this revision. */
+  /** Returns the next revision; undefined unless the change directly follows this revision. */
   apply (change: Change): Configuration | undefined {
     if (change.revision !== this.revision + 1) return undefined
     const resources = new Map(this.resources)
@@ -24,7 +24,7 @@
     return new Configuration(change.revision, resources)
   }
 
-  /** This revision with resources that are declared elsewhere beside its own. */
+  /** Returns this revision with additional resources that are declared outside the configuration. */
   withGiven (given: readonly Resource[]): Configuration {
     if (given.length === 0) return this
     const resources = new Map(this.resources)
--- a/packages/almondrelay/src/version/findDrainedTargets.ts
+++ b/packages/almondrelay/src/version/findDrainedTargets.ts
@@ -2,7 +2,7 @@
 import { findDrainedZones } from './findDrainedZones.js'
 import type { ServiceSpec } from './resources/serviceSpec.js'
 
-/** Names of a service's targets that a drain takes work away from: by name, availability zone or region. */
+/** Finds the names of a service's targets that are drained by name, by availability zone or by region. */
 export function findDrainedTargets (configuration: Configuration, service: string, spec: ServiceSpec): Set<string> {
   const zones = findDrainedZones(configuration)
   const drains = configuration.list('Drain').map((drain) => drain.spec)
--- a/packages/almondrelay/src/version/findDrainedZones.ts
+++ b/packages/almondrelay/src/version/findDrainedZones.ts
@@ -1,6 +1,6 @@
 import type { Configuration } from './configuration.js'
 
-/** Availability zones that a drain of the zone or of its region takes work away from. */
+/** Finds the availability zones that are drained themselves or by a drain of their region. */
 export function findDrainedZones (configuration: Configuration): Set<string> {
   const drains = configuration.list('Drain').map((drain) => drain.spec)
   const zones = drains.filter((drain) => drain.scope === 'availabilityZone').map((drain) => drain.name)
--- a/packages/almondrelay/src/version/pacing/__tests__/drainPacer.test.ts
+++ b/packages/almondrelay/src/version/pacing/__tests__/drainPacer.test.ts
@@ -5,9 +5,9 @@
 
 const STEP_MS = 250
 
-test('a drain stays under the cap and says that the cap holds it', () => {
-  // An operator drains a region at noon; the link to the next one carries 30 requests at once.
-  // Moved at once, 100 requests would meet it and its other traffic would stall.
+test('a drain stays under the cap and reports that the cap limits it', () => {
+  // An operator drains a region whose link to the next region carries 30 requests at a time. Moved
+  // all at once, 100 requests would overload the link and stall its other traffic.
   const pacer = new DrainPacer()
   for (let now = 0; now < 60_000; now += STEP_MS) {
     const status = pacer.advance({ wantedShare: 1, demand: 100, running: 70, receiversHeadroom: 1_000, cap: 30 }, now)
--- a/packages/almondrelay/src/version/pacing/computeShiftStep.ts
+++ b/packages/almondrelay/src/version/pacing/computeShiftStep.ts
@@ -2,21 +2,21 @@
 import type { PacingInput } from './pacingInput.js'
 import type { ShiftStep } from './shiftStep.js'
 
-/** Share moved in a second at most: look-up answers live 2 s, so what a step does is seen before three more follow. */
+/** Maximum share moved per second: look-up answers live for 2 s, so that the effect of a step is seen before three more follow. */
 const MAX_SHARE_PER_SECOND = 0.1
-/** Part of the receivers' headroom that one step may take; the rest stays for their own callers. */
+/** Share of the receivers' headroom that one step may use; the rest stays free for their own callers. */
 const HEADROOM_PART = 0.5
-/** Steps are taken as for at most this long a pause. */
+/** Maximum elapsed time that counts for one step. */
 const MAX_ELAPSED_MS = 2_000
 
 /**
- * Computes how far a drain or shift may go now.
+ * Computes the share of new work that a drain or shift may move now.
  *
- * Answers a big move on to idle, cold targets: moved at once, the whole load meets targets
- * that answer several times slower and passes the link's or region's limit on its way.
- * The share grows by what the cap leaves, by half of what the receivers' ramps allow
- * beyond what runs there, and by a tenth a second, whichever is least. It goes back at
- * once where the cap shrinks.
+ * If a large load moved to idle, cold targets all at once, it would meet targets that answer
+ * several times slower, and would exceed the limits of links and regions on its way. The share
+ * therefore grows only up to the cap, by at most half of the receivers' headroom (what their
+ * ramps allow beyond the running requests), and by at most a tenth per second, whichever is
+ * the least. It shrinks immediately when the cap does.
  */
 export function computeShiftStep (input: PacingInput, share: number, elapsedMs: number): ShiftStep {
   const demand = Math.max(1, input.demand)
--- a/packages/almondrelay/src/version/pacing/drainPacer.ts
+++ b/packages/almondrelay/src/version/pacing/drainPacer.ts
@@ -5,10 +5,10 @@
 import type { PacingStatus } from './pacingStatus.js'
 
 /**
- * Paces one drain or shift and says how far it is and what holds it back.
+ * Paces one drain or shift, and reports its progress and what limits it.
  *
- * A drain of a single target does not need it: such a target gets no new work at once. It
- * is for zones and regions, whose work is more than others can take in a moment.
+ * It is meant for zones and regions, whose work is more than others can take over at once. The
+ * drain of a single target needs no pacing: the target simply gets no new work.
  */
 export class DrainPacer {
   private share = 0
@@ -16,7 +16,7 @@
   private heldBy: PacingHold = PacingHold.rate
   private heldSince = 0
 
-  /** Share of new work, 0 to 1, that is to go elsewhere. */
+  /** Share of new work, 0 to 1, that is sent elsewhere. */
   get movedShare (): number {
     return this.share
   }
--- a/packages/almondrelay/src/version/pacing/pacingHold.ts
+++ b/packages/almondrelay/src/version/pacing/pacingHold.ts
@@ -1,14 +1,14 @@
-/** What holds a drain or shift back; for its status. */
+/** What currently limits a drain or shift; stated in its status. */
 const PacingHold = {
-  /** Nothing: all is moved. */
+  /** Nothing: all new work is moved. */
   done: 'done',
   /** The shift cap, link or region limit has no room. */
   cap: 'cap',
-  /** The receivers' targets are still warming up or busy. */
+  /** The receiving targets are still warming up or busy. */
   receivers: 'receivers',
-  /** The greatest rate at which anything is moved. */
+  /** The maximum rate at which work is moved. */
   rate: 'rate',
-  /** New work is moved; what runs on the source has not ended yet. */
+  /** All new work is moved; requests still run on the source. */
   running: 'running'
 } as const
 
--- a/packages/almondrelay/src/version/pacing/pacingInput.ts
+++ b/packages/almondrelay/src/version/pacing/pacingInput.ts
@@ -1,13 +1,13 @@
-/** What one step of a drain or shift is computed from. */
+/** Input for one step of a drain or shift. */
 export interface PacingInput {
-  /** Share of the source's work, 0 to 1, that is wanted elsewhere; 1 for a drain. */
+  /** Share of the source's work, 0 to 1, that is to be moved; 1 for a drain. */
   wantedShare: number
-  /** Requests in flight that the whole source has at present load, wherever they run. */
+  /** Requests in flight at the current load of the whole source, wherever they run. */
   demand: number
-  /** Requests in flight that still run on the source. */
+  /** Requests that still run on the source. */
   running: number
-  /** Requests more that the receivers can run now: what their ramps allow, less what runs. */
+  /** Further requests that the receivers can run now: what their ramps allow, less the running requests. */
   receiversHeadroom: number
-  /** Requests in flight that the caps on the way allow in all; absent where there is none. */
+  /** Total requests in flight that the caps between source and receivers allow; undefined if there is no cap. */
   cap?: number
 }
--- a/packages/almondrelay/src/version/pacing/pacingStatus.ts
+++ b/packages/almondrelay/src/version/pacing/pacingStatus.ts
@@ -1,13 +1,13 @@
 import type { PacingHold } from './pacingHold.js'
 
-/** How far a drain or shift is. */
+/** Progress of a drain or shift. */
 export interface PacingStatus {
-  /** Share of new work that goes elsewhere, 0 to 1. */
+  /** Share of new work that is sent elsewhere, 0 to 1. */
   movedShare: number
-  /** Requests in flight that still run on the source. */
+  /** Requests that still run on the source. */
   running: number
   heldBy: PacingHold
-  /** Monotonic milliseconds since which the same thing holds it back. */
+  /** Monotonic time in milliseconds since which `heldBy` is unchanged. */
   heldSince: number
   message: string
 }
--- a/packages/almondrelay/src/version/pacing/shiftStep.ts
+++ b/packages/almondrelay/src/version/pacing/shiftStep.ts
@@ -1,6 +1,6 @@
 import type { PacingHold } from './pacingHold.js'
 
-/** The share to which a shift may go now, and what kept it from more. */
+/** The share that a shift may move now, and what limits it. */
 export interface ShiftStep {
   share: number
   heldBy: PacingHold
--- a/packages/almondrelay/src/version/resources/change.ts
+++ b/packages/almondrelay/src/version/resources/change.ts
@@ -4,11 +4,11 @@
 /** One entry of the change log: the typed change that a revision made. */
 export type Change = {
   revision: number
-  /** UUID of the write, by which a writer finds out whether its change was made. */
+  /** UUID of the write, by which the writer can check whether its change was made. */
   writeId: string
-  /** Who wrote it, as the operator's client said. */
+  /** Author as stated by the operator's client. */
   author: string
-  /** Wall time in milliseconds; only a label. */
+  /** Wall-clock time in milliseconds; for information only. */
   writtenAt: number
 } & (
   | { action: 'put', resource: Resource }
--- a/packages/almondrelay/src/version/resources/drainSpec.ts
+++ b/packages/almondrelay/src/version/resources/drainSpec.ts
@@ -1,12 +1,12 @@
 import { z } from 'zod'
 import { ResourceName } from './resourceName.js'
 
-/** An order to take work away from a target, an availability zone or a region. */
+/** Drain of a target, an availability zone or a region, which then gets no new work. */
 const DrainSpec = z.strictObject({
   scope: z.enum(['target', 'availabilityZone', 'region']),
-  /** Name of what is drained. */
+  /** Name of the drained target, availability zone or region. */
   name: ResourceName,
-  /** The service of the target; only where scope is target. */
+  /** The service of the target; only if the scope is `target`. */
   service: ResourceName.optional()
 }).refine((drain) => drain.scope !== 'target' || drain.service !== undefined, { path: ['service'], message: 'name the service whose target is drained' })
 
--- a/packages/almondrelay/src/version/resources/linkSpec.ts
+++ b/packages/almondrelay/src/version/resources/linkSpec.ts
@@ -1,13 +1,13 @@
 import { z } from 'zod'
 import { ResourceName } from './resourceName.js'
 
-/** The link that carries work from one region to another. */
+/** Network link by which one region sends work to another. */
 const LinkSpec = z.strictObject({
   from: ResourceName,
   to: ResourceName,
-  /** One way, in milliseconds. */
+  /** One-way latency, in milliseconds. */
   latencyMs: z.number().min(0).max(10_000),
-  /** Requests that may be in flight over it at once. */
+  /** Maximum number of requests in flight over the link. */
   maxInFlight: z.number().int().min(0).max(10_000_000)
 })
 
--- a/packages/almondrelay/src/version/resources/resource.ts
+++ b/packages/almondrelay/src/version/resources/resource.ts
@@ -3,7 +3,7 @@
 
 type Specs = typeof resourceSpecs
 
-/** A declared resource as one revision of the configuration holds it. */
+/** A declared resource as of one revision of the configuration. */
 export type Resource = {
   [Kind in keyof Specs]: {
     kind: Kind
--- a/packages/almondrelay/src/version/resources/serviceSpec.ts
+++ b/packages/almondrelay/src/version/resources/serviceSpec.ts
@@ -16,13 +16,13 @@
       seen.add(target.name)
     })
   }),
-  /** Exceptions to the idempotence of methods in RFC 9110, section 9.2.2; the first match holds. */
+  /** Exceptions to the idempotence of methods in RFC 9110, section 9.2.2; the first matching rule applies. */
   routes: z.array(RouteRule).max(1000).default([]),
-  /** Longest body of a request or an answer, in bytes. */
+  /** Maximum body size of a request or an answer, in bytes. */
   maxBodyBytes: z.number().int().min(1).max(16_777_216).default(1_048_576),
-  /** Deadline where the caller states none, in milliseconds. */
+  /** Deadline of requests without one, in milliseconds. */
   defaultDeadlineMs: z.number().int().min(1).max(600_000).default(10_000),
-  /** Path with which a target's health is asked. */
+  /** Path of the targets' health endpoint. */
   healthPath: z.string().startsWith('/').default('/health')
 })
 
--- a/packages/almondrelay/src/version/resources/shiftCapSpec.ts
+++ b/packages/almondrelay/src/version/resources/shiftCapSpec.ts
@@ -1,13 +1,13 @@
 import { z } from 'zod'
 import { ResourceName } from './resourceName.js'
 
-/** The most that may be shifted from one region to another at once. */
+/** Limit on the requests shifted from one region to another. */
 const ShiftCapSpec = z.strictObject({
   from: ResourceName,
   to: ResourceName,
-  /** Only this service; every service together where it is absent. */
+  /** The service to which the limit applies; if absent, it applies to all services together. */
   service: ResourceName.optional(),
-  /** Requests of callers of `from` that may run in `to` at once. */
+  /** Maximum number of requests of callers in `from` that may run in `to` at once. */
   maxInFlight: z.number().int().min(0).max(10_000_000)
 })
 
--- a/packages/almondrelay/src/version/weights/__tests__/computeLookupAnswer.test.ts
+++ b/packages/almondrelay/src/version/weights/__tests__/computeLookupAnswer.test.ts
@@ -10,7 +10,7 @@
   ({ name, region: 'akl', freeSlots, slots: 18, ageMs: 0, leaving: false, reachable: true, ...parts })
 const getWeight = (answer: LookupAnswer, name: string): number => answer.hosts.find(({ host }) => host === name)?.weight ?? 0
 
-test('weights move by bounded steps, leaving hosts are out at once, times to live are spread', () => {
+test('weights change by bounded steps, leaving hosts are removed immediately, times to live are spread', () => {
   const random = createSeededRandom(1)
   const hosts = ['a', 'b', 'c'].map((name) => makeHost(name, 18))
   const first = computeLookupAnswer({ hosts, ttlMs: TTL_MS }, undefined, 0, random)
@@ -24,9 +24,9 @@
   assert.ok(Math.min(...ttls) < 1_600 && Math.max(...ttls) > 2_400)
 })
 
-test('load that follows cached and lagging answers does not swing', () => {
+test('load that follows cached and lagging answers does not oscillate', () => {
   // Two hosts; callers cache the answer for 2 s and the reports of free slots are 1 s old. Weights
-  // that follow the reports at once send all callers to the host that was free, and back.
+  // that followed the reports immediately would send all callers to the host that was free, and back.
   const random = createSeededRandom(2)
   const simulateSwing = (isBounded: boolean): number => {
     let answer: LookupAnswer | undefined
--- a/packages/almondrelay/src/version/weights/computeLookupAnswer.ts
+++ b/packages/almondrelay/src/version/weights/computeLookupAnswer.ts
@@ -5,30 +5,30 @@
 import type { LookupInput } from './lookupInput.js'
 import { sortByDraw } from './sortByDraw.js'
 
-/** Part of a host's weight, and at least of an equal share, by which it may move in one time to live. */
+/** A host's weight may change by this share of itself, or of an equal share if that is larger, in one time to live. */
 const STEP = 0.25
-/** Answers lag by up to a time to live, so a longer pause allows no more than this many steps at once. */
+/** Maximum number of steps at once, even after a longer pause, because answers lag by up to a time to live. */
 const MAX_STEPS = 2
-/** Time in which reported free slots lose two thirds of their weight against the slots in total. */
+/** Time in which reported free slots lose about two thirds of their weight compared with the total slots. */
 const REPORT_FADE_MS = 2_000
-/** Weight of the slots in total beside the free ones: a full host still gets a little, or it would never be seen free. */
+/** Weight of the total slots next to the free slots: a full host still gets some requests, or it would never be seen to be free again. */
 const SLOTS_PART = 0.25
-/** Times to live are drawn from 1 - SPREAD to 1 + SPREAD of the mean. */
+/** Times to live are drawn from 1 - `TTL_JITTER` to 1 + `TTL_JITTER` times the mean. */
 const SPREAD = 0.25
 const MIN_TTL_MS = 100
 
 /**
  * Computes the weights of entry hosts that a caller caches.
  *
- * Answers herds on a lagging picture: callers keep an answer for its time to live and
- * reports of free slots are a second old, so weights that follow the reports at once send
- * everyone to the host that was free a moment ago, and back again. Here a weight moves by
- * at most a quarter in a time to live, half of what would swing for ever with one time to
- * live of lag; a host that leaves or can't be reached is out at once; times to live are
- * spread, so that callers don't ask again together. Weights follow the free slots that a host owns,
+ * Callers cache an answer for its time to live and reports of free slots are a second old, so
+ * that weights which followed the reports immediately would send all callers to a host that
+ * was free a moment ago, and back again. Here a weight changes by at most a quarter in one time
+ * to live, half of the step that would oscillate forever with a lag of one time to live. A host
+ * that leaves or can't be reached is removed immediately. Times to live are spread, so that
+ * callers don't repeat their look-ups together. Weights follow the free slots that a host owns,
  * so that few requests need a second hop.
  *
- * `previous`: the answer that this host gave before to the same region and service.
+ * `previous`: the previous answer of this host for the same region and service.
  */
 export function computeLookupAnswer (input: LookupInput, previous: LookupAnswer | undefined, now: number, random: Random): LookupAnswer {
   const hosts = input.hosts.filter((host) => host.reachable && !host.leaving && host.slots > 0)
@@ -56,7 +56,11 @@
   return trust * host.freeSlots + (1 - trust) * host.slots
 }
 
-/** Weights that move from the previous ones all by the same part of the way, the largest that keeps each within its step, so that they still sum to 1; hosts that are gone have given up theirs to the others. */
+/**
+ * Moves all weights by the same share of the way from the previous to the wanted ones, so that they still sum to 1:
+ * the largest share that keeps each within its step. The previous weights of removed hosts are first spread over the
+ * others.
+ */
 function limitSteps (wanted: readonly HostWeight[], previous: LookupAnswer, ttlMs: number, now: number): HostWeight[] {
   const before = new Map(previous.hosts.map(({ host, weight }) => [host, weight]))
   const staying = wanted.filter(({ host }) => before.has(host))
--- a/packages/almondrelay/src/version/weights/lookupInput.ts
+++ b/packages/almondrelay/src/version/weights/lookupInput.ts
@@ -1,9 +1,9 @@
 import type { HostView } from './hostView.js'
 
-/** What a look-up's answer is computed from. */
+/** Input from which a look-up is answered. */
 export interface LookupInput {
   hosts: readonly HostView[]
-  /** Share by serving region, 0 to 1, after pacing; absent where slots alone decide. */
+  /** Shares by serving region, 0 to 1, after pacing; undefined if only slots decide. */
   regionShares?: Readonly<Record<string, number>>
   /** Mean time to live, in milliseconds. */
   ttlMs: number
