--- a/packages/almondrelay/src/process/dispatch/hostCapacity.ts
+++ b/packages/almondrelay/src/process/dispatch/hostCapacity.ts
@@ -100,7 +100,7 @@
   }
 
   private reportDemand (route: LimitRoute, wanted: number): void {
-    this.parts.limits.observeDemand(route, wanted)
+    this.parts.limits.recordDemand(route, wanted)
     this.parts.wakeLoans()
   }
 
--- a/packages/almondrelay/src/process/limits/__fixtures__/equalSplitWay.ts
+++ b/packages/almondrelay/src/process/limits/__fixtures__/equalSplitStrategy.ts
@@ -1,7 +1,7 @@
-import { LimitWay } from './limitWay.js'
+import { LimitStrategy } from './limitStrategy.js'
 
 /** Each host may use a fixed, equal share of every target; no capacity moves between hosts. */
-export class EqualSplitWay extends LimitWay {
+export class EqualSplitStrategy extends LimitStrategy {
   private readonly running = new Map<string, number>()
 
   constructor (private readonly targets: readonly string[], private readonly slotsOfHost: number) {
--- a/packages/almondrelay/src/process/limits/__fixtures__/limitWay.ts
+++ b/packages/almondrelay/src/process/limits/__fixtures__/limitStrategy.ts
@@ -1,5 +1,5 @@
 /** A strategy for keeping hosts within the slots of shared targets, for comparison. */
-export abstract class LimitWay {
+export abstract class LimitStrategy {
   /** Starts a request at a host if the strategy admits it, and returns the target where it runs. */
   abstract tryStart (host: number, holder: string, now: number): string | undefined
   /** Records that a request which this strategy started has ended. */
--- a/packages/almondrelay/src/process/limits/__fixtures__/correctedWay.ts
+++ b/packages/almondrelay/src/process/limits/__fixtures__/loadReportStrategy.ts
@@ -1,10 +1,10 @@
-import { LimitWay } from './limitWay.js'
+import { LimitStrategy } from './limitStrategy.js'
 
 const REPORT_MS = 250
 const LAG_MS = 50
 
 /** Each host chooses targets by their last reported load plus the requests that it started since, and corrects its estimate at the next report. */
-export class CorrectedWay extends LimitWay {
+export class LoadReportStrategy extends LimitStrategy {
   private seen = new Map<string, number>()
   private reports: Array<{ at: number, running: Map<string, number> }> = []
   private started = new Map<string, number>()
--- a/packages/almondrelay/src/process/limits/__fixtures__/measureWay.ts
+++ b/packages/almondrelay/src/process/limits/__fixtures__/measureStrategy.ts
@@ -1,7 +1,7 @@
 import { createSeededRandom } from '../../../request/createSeededRandom.js'
-import type { LimitWay } from './limitWay.js'
+import type { LimitStrategy } from './limitStrategy.js'
 
-interface WaySetting {
+interface StrategySetting {
   targets: readonly string[]
   slots: number
   hosts: number
@@ -14,7 +14,7 @@
   runMs: number
 }
 
-interface WayFigures {
+interface StrategyFigures {
   /** Mean number of running requests, as a fraction of all slots. */
   utilisation: number
   /** Maximum number of requests that one target ran, as a fraction of its slots. */
@@ -27,7 +27,7 @@
 const SERVICE_MS = 50
 
 /** Offers seeded work with memoryless service times to a strategy and counts the requests that actually run on the targets. */
-export function measureWay (way: LimitWay, setting: WaySetting): WayFigures {
+export function measureStrategy (strategy: LimitStrategy, setting: StrategySetting): StrategyFigures {
   const { targets, slots, hosts, load, hotPart, seed, runMs } = setting
   const random = createSeededRandom(seed)
   const running = new Map(targets.map((target) => [target, 0]))
@@ -40,14 +40,14 @@
   for (let now = 0; now < runMs; now += STEP_MS) {
     for (const each of work.filter(({ endsAt }) => endsAt <= now)) {
       running.set(each.target, running.get(each.target)! - 1)
-      way.release(each.host, each.holder, each.target, now)
+      strategy.release(each.host, each.holder, each.target, now)
     }
     work = work.filter(({ endsAt }) => endsAt > now)
-    way.advance(now, running)
+    strategy.advance(now, running)
     for (let arrivals = perStep + random(); arrivals >= 1; arrivals -= 1) {
       const host = hosts === 1 || random() < hotPart ? 0 : 1 + Math.floor(random() * (hosts - 1))
       const holder = `r${count++}`
-      const target = way.tryStart(host, holder, now)
+      const target = strategy.tryStart(host, holder, now)
       if (target === undefined) continue
       running.set(target, running.get(target)! + 1)
       work.push({ host, holder, target, endsAt: now - Math.log(1 - random()) * SERVICE_MS })
--- a/packages/almondrelay/src/process/limits/__fixtures__/regionHost.ts
+++ b/packages/almondrelay/src/process/limits/__fixtures__/regionHost.ts
@@ -5,9 +5,9 @@
 import { RegionLender } from '../regionLender.js'
 import { RegionLimits } from '../regionLimits.js'
 import type { RosterHost } from '../rosterHost.js'
-import { ModelProcess } from './modelProcess.js'
+import { SimulatedProcess } from './simulatedProcess.js'
 import type { TargetWork } from './targetWork.js'
-import type { WorldOptions } from './worldOptions.js'
+import type { SimulationOptions } from './simulationOptions.js'
 
 interface Running {
   holder: string
@@ -18,7 +18,7 @@
 const ROUTE = { service: 's', fromRegion: 'akl', toRegion: REGION }
 
 /** A simulated entry host of the receiving region: starts all the work that the limits admit. */
-export class RegionHost extends ModelProcess {
+export class RegionHost extends SimulatedProcess {
   static readonly region = REGION
   static readonly limitName = `${LimitKind.region}/${REGION}`
   readonly limits: RegionLimits
@@ -28,7 +28,7 @@
   private running: Running[] = []
   private sequence = 0
 
-  constructor (self: RosterHost, availabilityZone: string, options: WorldOptions, random: Random, private readonly work: TargetWork) {
+  constructor (self: RosterHost, availabilityZone: string, options: SimulationOptions, random: Random, private readonly work: TargetWork) {
     super(self, availabilityZone, options, random)
     this.limits = new RegionLimits({ host: self.name, incarnation: self.incarnation, availabilityZone, region: REGION }, this.slots.claims, options.limits)
     this.lender = new RegionLender(self, options.limits)
--- a/packages/almondrelay/src/process/limits/__fixtures__/regionWorld.ts
+++ b/packages/almondrelay/src/process/limits/__fixtures__/regionSimulation.ts
@@ -3,26 +3,26 @@
 import { computeZoneFloor } from '../computeZoneFloor.js'
 import type { PlannedLoan } from '../plannedLoan.js'
 import type { RosterHost } from '../rosterHost.js'
-import { ModelWorld } from './modelWorld.js'
+import { ZoneSimulation } from './zoneSimulation.js'
 import { RegionHost } from './regionHost.js'
 import { TargetWork } from './targetWork.js'
-import type { WorldOptions } from './worldOptions.js'
+import type { SimulationOptions } from './simulationOptions.js'
 
 const ZONES = ['wlg-a', 'wlg-b']
 const LENDER_TTL_MS = 800
 
 /** Simulates the hosts of one region's zones, which share the region's capacity, given as `slots` in the options. */
-export class RegionWorld extends ModelWorld<RegionHost> {
+export class RegionSimulation extends ZoneSimulation<RegionHost> {
   readonly work = new TargetWork()
   /** Maximum number of requests that ran concurrently so far. */
-  highest = 0
+  maxConcurrent = 0
   private countedAfter = -Infinity
   private limit: number
   private configuration: Configuration
   /** Holder of the platform's key `lenders/<region>` and the time at which its lease ends. */
   private lender: { name: string, incarnation: number, until: number } | undefined
 
-  constructor (seed: number, options: WorldOptions) {
+  constructor (seed: number, options: SimulationOptions) {
     super(seed, options, ZONES)
     this.limit = options.slots
     this.configuration = this.makeConfiguration(options.slots)
@@ -39,11 +39,11 @@
   adoptEverywhere (): void {
     this.live.forEach((host) => host.adoptConfiguration(this.configuration, this.real))
     this.countedAfter = this.real
-    this.highest = 0
+    this.maxConcurrent = 0
   }
 
   /** Whether the whole limit is usable, except for the floors of zones that have lost their last host. */
-  isWholeUsable (): boolean {
+  isFullyUsable (): boolean {
     const usable = this.live.reduce((sum, host) => sum + host.countUsable(this.real), 0)
     const lost = ZONES.filter((zone) => !this.live.some((host) => host.availabilityZone === zone))
     return usable === this.limit - lost.reduce((sum, zone) => sum + computeZoneFloor(this.limit, ZONES, zone), 0)
@@ -64,7 +64,7 @@
   }
 
   protected measure (): void {
-    this.highest = Math.max(this.highest, this.work.count(this.real, this.countedAfter))
+    this.maxConcurrent = Math.max(this.maxConcurrent, this.work.count(this.real, this.countedAfter))
   }
 
   private sendLoans (host: RegionHost): void {
--- a/packages/almondrelay/src/process/limits/__fixtures__/modelHost.ts
+++ b/packages/almondrelay/src/process/limits/__fixtures__/simulatedHost.ts
@@ -1,9 +1,9 @@
 import type { Random } from '../../../request/random.js'
 import type { Credit } from '../credit.js'
 import type { RosterHost } from '../rosterHost.js'
-import { ModelProcess } from './modelProcess.js'
+import { SimulatedProcess } from './simulatedProcess.js'
 import type { TargetWork } from './targetWork.js'
-import type { WorldOptions } from './worldOptions.js'
+import type { SimulationOptions } from './simulationOptions.js'
 
 interface Running {
   holder: string
@@ -19,14 +19,14 @@
 const SERVICE = 's'
 
 /** A simulated entry host: takes all the work that its slots allow, and sends some of it late. */
-export class ModelHost extends ModelProcess {
+export class SimulatedHost extends SimulatedProcess {
   static readonly service = SERVICE
   private running: Running[] = []
   private unsent: Unsent[] = []
   private credits: Credit[] = []
   private sequence = 0
 
-  constructor (self: RosterHost, availabilityZone: string, options: WorldOptions, random: Random, private readonly work: Map<string, TargetWork>) {
+  constructor (self: RosterHost, availabilityZone: string, options: SimulationOptions, random: Random, private readonly work: Map<string, TargetWork>) {
     super(self, availabilityZone, options, random)
     const targets = [...work.keys()].map((name) => ({ name, address: '127.0.0.1:9', availabilityZone, slots: options.slots, connections: 10 }))
     this.slots.adoptTargets(SERVICE, targets, options.maxDeadlineMs, this.computeNow(0))
--- a/packages/almondrelay/src/process/limits/__fixtures__/modelProcess.ts
+++ b/packages/almondrelay/src/process/limits/__fixtures__/simulatedProcess.ts
@@ -1,17 +1,17 @@
 import type { Random } from '../../../request/random.js'
 import { HostSlots } from '../hostSlots.js'
 import type { RosterHost } from '../rosterHost.js'
-import type { WorldOptions } from './worldOptions.js'
+import type { SimulationOptions } from './simulationOptions.js'
 
 /** A simulated process with its own monotonic clock. */
-export abstract class ModelProcess {
+export abstract class SimulatedProcess {
   readonly slots: HostSlots
   pausedUntil = -Infinity
   alive = true
   private readonly offset: number
   private readonly rate: number
 
-  constructor (readonly self: RosterHost, readonly availabilityZone: string, protected readonly options: WorldOptions, protected readonly random: Random) {
+  constructor (readonly self: RosterHost, readonly availabilityZone: string, protected readonly options: SimulationOptions, protected readonly random: Random) {
     this.offset = random() * 1_000_000
     this.rate = 1 + (random() < 0.5 ? -1 : 1) * options.clockSpread
     this.slots = new HostSlots({ host: self.name, incarnation: self.incarnation, availabilityZone }, options.limits)
--- a/packages/almondrelay/src/process/limits/__fixtures__/worldOptions.ts
+++ b/packages/almondrelay/src/process/limits/__fixtures__/simulationOptions.ts
@@ -1,7 +1,7 @@
 import type { LimitsOptions } from '../limitsOptions.js'
 
 /** Parameters of a simulation run; times are shorter than the daemon's so that more events fit into a run. */
-export interface WorldOptions {
+export interface SimulationOptions {
   hosts: number
   targets: number
   slots: number
--- a/packages/almondrelay/src/process/limits/__fixtures__/worldStep.ts
+++ b/packages/almondrelay/src/process/limits/__fixtures__/simulationStep.ts
@@ -1,5 +1,5 @@
 /** One step of a simulation run: a fault or the end of one, followed by some time. */
-export interface WorldStep {
+export interface SimulationStep {
   kind: 'none' | 'pause' | 'cut' | 'kill' | 'join' | 'platformDown' | 'platformUp' | 'mend'
   /** Index of the host concerned, modulo the number of live ones. */
   host: number
--- a/packages/almondrelay/src/process/limits/__fixtures__/worldStepArbitrary.ts
+++ b/packages/almondrelay/src/process/limits/__fixtures__/simulationStepArbitrary.ts
@@ -1,10 +1,10 @@
 import fc from 'fast-check'
-import type { WorldStep } from './worldStep.js'
+import type { SimulationStep } from './simulationStep.js'
 
 const kinds = ['none', 'none', 'pause', 'pause', 'cut', 'cut', 'kill', 'join', 'platformDown', 'platformUp', 'platformUp', 'mend'] as const
 
 /** Generates any step of a simulation run. */
-export const worldStep: fc.Arbitrary<WorldStep> = fc.record({
+export const simulationStepArbitrary: fc.Arbitrary<SimulationStep> = fc.record({
   kind: fc.constantFrom(...kinds),
   host: fc.nat(9),
   other: fc.nat(9),
--- a/packages/almondrelay/src/process/limits/__fixtures__/ownersWay.ts
+++ b/packages/almondrelay/src/process/limits/__fixtures__/slotOwnershipStrategy.ts
@@ -1,6 +1,6 @@
 import { HostSlots } from '../hostSlots.js'
 import type { RosterHost } from '../rosterHost.js'
-import { LimitWay } from './limitWay.js'
+import { LimitStrategy } from './limitStrategy.js'
 
 const ZONE = 'akl-a'
 const SERVICE = 's'
@@ -8,7 +8,7 @@
 const MAX_DEADLINE_MS = 10_000
 
 /** Owners, standbys and credits as in the daemon, with messages that are delivered instantly. */
-export class OwnersWay extends LimitWay {
+export class SlotOwnershipStrategy extends LimitStrategy {
   private readonly hosts: Array<{ self: RosterHost, slots: HostSlots }>
   private readonly runners = new Map<string, HostSlots>()
   private nextRenewal = 0
--- a/packages/almondrelay/src/process/limits/__fixtures__/modelWorld.ts
+++ b/packages/almondrelay/src/process/limits/__fixtures__/zoneSimulation.ts
@@ -2,23 +2,23 @@
 import type { Random } from '../../../request/random.js'
 import type { Roster } from '../roster.js'
 import type { RosterHost } from '../rosterHost.js'
-import type { ModelProcess } from './modelProcess.js'
-import type { WorldOptions } from './worldOptions.js'
-import type { WorldStep } from './worldStep.js'
+import type { SimulatedProcess } from './simulatedProcess.js'
+import type { SimulationOptions } from './simulationOptions.js'
+import type { SimulationStep } from './simulationStep.js'
 
 interface Delivery {
   at: number
-  to: ModelProcess
-  from: ModelProcess | undefined
+  to: SimulatedProcess
+  from: SimulatedProcess | undefined
   receive: () => void
 }
 
 /** Maximum time until a reachable host receives evidence that another host is gone. */
-const NEWS_MS = 600
+const MAX_EVIDENCE_DELAY_MS = 600
 const LATE_MS = 4_000
 
 /** Simulates the processes of some zones, the faults between them and the messages that they exchange, in virtual time. */
-export abstract class ModelWorld<Host extends ModelProcess> {
+export abstract class ZoneSimulation<Host extends SimulatedProcess> {
   static readonly quantumMs = 20
   real = 0
   readonly hosts: Host[] = []
@@ -29,7 +29,7 @@
   private readonly cuts = new Map<string, number>()
   private faultChance: number
 
-  constructor (seed: number, protected readonly options: WorldOptions, private readonly zones: readonly string[]) {
+  constructor (seed: number, protected readonly options: SimulationOptions, private readonly zones: readonly string[]) {
     this.random = createSeededRandom(seed)
     this.faultChance = options.faultChance
     for (const zone of zones) this.rosters.set(zone, { version: 0, availabilityZone: zone, hosts: [], lastLossVersion: 0 })
@@ -39,7 +39,7 @@
     return this.hosts.filter((host) => host.alive)
   }
 
-  apply (step: WorldStep): void {
+  apply (step: SimulationStep): void {
     const host = this.live[step.host % this.live.length]!
     const other = this.live[step.other % this.live.length]!
     if (step.kind === 'pause') host.pausedUntil = this.real + step.faultMs
@@ -68,7 +68,7 @@
   run (ms: number): void {
     const until = this.real + ms
     while (this.real < until) {
-      this.real += ModelWorld.quantumMs
+      this.real += ZoneSimulation.quantumMs
       this.zones.forEach((zone) => this.publish(zone))
       this.receiveDue()
       for (const host of this.pickOrder(this.live).filter((each) => each.isAwake(this.real))) {
@@ -102,7 +102,7 @@
     const copies = this.random() < this.faultChance ? 2 : 1
     for (let copy = 0; copy < copies; copy += 1) {
       const late = this.random() < this.faultChance
-      this.deliveries.push({ at: this.real + this.random() * (late ? LATE_MS : 2 * ModelWorld.quantumMs), from, to, receive })
+      this.deliveries.push({ at: this.real + this.random() * (late ? LATE_MS : 2 * ZoneSimulation.quantumMs), from, to, receive })
     }
   }
 
@@ -145,7 +145,7 @@
     host.alive = false
     for (const peer of this.live) {
       const receive = (): void => peer.markGone(host.self, this.real)
-      if (this.random() < 0.8) this.deliveries.push({ at: this.real + this.random() * NEWS_MS, from: undefined, to: peer, receive })
+      if (this.random() < 0.8) this.deliveries.push({ at: this.real + this.random() * MAX_EVIDENCE_DELAY_MS, from: undefined, to: peer, receive })
     }
     if (startsAgain) this.addHost({ name: host.self.name, incarnation: host.self.incarnation + 1 }, host.availabilityZone)
   }
@@ -165,11 +165,11 @@
     this.rosters.set(zone, { ...roster, version, hosts, lastLossVersion: lost === undefined ? roster.lastLossVersion! : version })
   }
 
-  private isCut (left: ModelProcess, right: ModelProcess): boolean {
+  private isCut (left: SimulatedProcess, right: SimulatedProcess): boolean {
     return (this.cuts.get(this.makePair(left, right)) ?? -Infinity) > this.real
   }
 
-  private makePair (left: ModelProcess, right: ModelProcess): string {
+  private makePair (left: SimulatedProcess, right: SimulatedProcess): string {
     return [left.self.name, right.self.name].sort().join('|')
   }
 
--- a/packages/almondrelay/src/process/limits/__tests__/limitWays.test.ts
+++ b/packages/almondrelay/src/process/limits/__tests__/limitWays.test.ts
@@ -1,9 +1,9 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { CorrectedWay } from '../__fixtures__/correctedWay.js'
-import { EqualSplitWay } from '../__fixtures__/equalSplitWay.js'
-import { measureWay } from '../__fixtures__/measureWay.js'
-import { OwnersWay } from '../__fixtures__/ownersWay.js'
+import { LoadReportStrategy } from '../__fixtures__/loadReportStrategy.js'
+import { EqualSplitStrategy } from '../__fixtures__/equalSplitStrategy.js'
+import { measureStrategy } from '../__fixtures__/measureStrategy.js'
+import { SlotOwnershipStrategy } from '../__fixtures__/slotOwnershipStrategy.js'
 
 const SEED = 20_261_202
 
@@ -18,9 +18,9 @@
     test(`${zone.name}, load ${load}: slot ownership uses more than an equal split and never exceeds the limit, which correction by load reports does`, () => {
       const targets = Array.from({ length: zone.targets }, (_, index) => `t${index}`)
       const setting = { targets, slots: zone.slots, hosts: zone.hosts, load, hotPart: 0.6, seed: SEED, runMs: zone.runMs }
-      const owners = measureWay(new OwnersWay(targets, zone.slots, zone.hosts), setting)
-      const equal = measureWay(new EqualSplitWay(targets, Math.floor(zone.slots / zone.hosts)), setting)
-      const corrected = measureWay(new CorrectedWay(targets, zone.slots), setting)
+      const owners = measureStrategy(new SlotOwnershipStrategy(targets, zone.slots, zone.hosts), setting)
+      const equal = measureStrategy(new EqualSplitStrategy(targets, Math.floor(zone.slots / zone.hosts)), setting)
+      const corrected = measureStrategy(new LoadReportStrategy(targets, zone.slots), setting)
       console.log(zone.name, load, JSON.stringify({ owners, equal, corrected }))
       assert.is(owners.timeAbove, 0)
       assert.ok(owners.utilisation > equal.utilisation)
--- a/packages/almondrelay/src/process/limits/__tests__/partClaims.test.ts
+++ b/packages/almondrelay/src/process/limits/__tests__/partClaims.test.ts
@@ -14,7 +14,7 @@
 class FakeUser extends PartUser {
   busy = false
 
-  tryGiveUp (): [] | undefined {
+  tryHandOver (): [] | undefined {
     return this.busy ? undefined : []
   }
 
--- a/packages/almondrelay/src/process/limits/computeZoneFloor.ts
+++ b/packages/almondrelay/src/process/limits/computeZoneFloor.ts
@@ -7,6 +7,6 @@
 export function computeZoneFloor (limit: number, zones: readonly string[], availabilityZone: string): number {
   const index = [...zones].sort().indexOf(availabilityZone)
   if (index < 0) return 0
-  const floors = Math.ceil(limit / 2)
-  return Math.floor(floors / zones.length) + (index < floors % zones.length ? 1 : 0)
+  const floorTotal = Math.ceil(limit / 2)
+  return Math.floor(floorTotal / zones.length) + (index < floorTotal % zones.length ? 1 : 0)
 }
--- a/packages/almondrelay/src/process/limits/describeGiven.ts
+++ b/packages/almondrelay/src/process/limits/describeHandOver.ts
@@ -5,7 +5,7 @@
 import type { RosterHost } from './rosterHost.js'
 
 /** Describes the hand-over of a part to the host that claims the part; empty where it went to another host and no grant still binds. */
-export function describeGiven (state: PartState | undefined, sender: RosterHost, viewKey: string, now: number): PartHandOver[] {
+export function describeHandOver (state: PartState | undefined, sender: RosterHost, viewKey: string, now: number): PartHandOver[] {
   const given = state?.given
   if (state === undefined || given === undefined) return []
   const toAsker = given.viewKey === viewKey && isSameHost(given.to, sender)
--- a/packages/almondrelay/src/process/limits/hostSlots.ts
+++ b/packages/almondrelay/src/process/limits/hostSlots.ts
@@ -33,7 +33,7 @@
   private readonly self: RosterHost
   private readonly options: LimitsOptions
   private readonly services = new Map<string, Map<string, TargetSlots>>()
-  private readonly holders = new Map<string, TargetSlots>()
+  private readonly slotsByHolder = new Map<string, TargetSlots>()
   private readonly held = new Map<string, HeldTargets>()
   private readonly ledger: CreditLedger
 
@@ -104,9 +104,9 @@
 
   /** Releases the slot once the request's answer or refusal is known. Releasing it twice, or without having acquired it, has no effect. */
   release (holder: string, now: number): void {
-    const slots = this.holders.get(holder)
+    const slots = this.slotsByHolder.get(holder)
     if (slots === undefined) return
-    this.holders.delete(holder)
+    this.slotsByHolder.delete(holder)
     slots.running -= 1
     this.advance(now)
   }
@@ -177,9 +177,9 @@
   }
 
   private begin (slots: TargetSlots, holder: string, runsUntil: number, now: number): boolean {
-    if (this.holders.has(holder) || runsUntil <= now || runsUntil - now > slots.maxDeadlineMs) return false
+    if (this.slotsByHolder.has(holder) || runsUntil <= now || runsUntil - now > slots.maxDeadlineMs) return false
     slots.running += 1
-    this.holders.set(holder, slots)
+    this.slotsByHolder.set(holder, slots)
     return true
   }
 
@@ -188,8 +188,8 @@
    * configuration changes, so that the cost of a request doesn't grow with the zone.
    */
   private listHeld (service: string): TargetSlots[] {
-    const kept = this.held.get(service)
-    if (kept !== undefined && kept.epoch === this.claims.epoch) return kept.slots
+    const cached = this.held.get(service)
+    if (cached !== undefined && cached.epoch === this.claims.epoch) return cached.slots
     const slots = [...this.getService(service).values()].filter((each) => each.configured && each.isHeld())
     this.held.set(service, { epoch: this.claims.epoch, slots })
     return slots
--- a/packages/almondrelay/src/process/limits/limitBorrower.ts
+++ b/packages/almondrelay/src/process/limits/limitBorrower.ts
@@ -1,7 +1,7 @@
 import type { LoanAnswer } from './loanAnswer.js'
 import type { LoanRequest } from './loanRequest.js'
 
-interface Held {
+interface HeldLoan {
   amount: number
   /** The limit's size when it was lent. */
   limit: number
@@ -18,9 +18,9 @@
 }
 
 /** Fraction of a term after which a loan is renewed: two renewals can be lost before the loan expires. */
-const RENEW_AFTER = 1 / 3
+const RENEWAL_FRACTION = 1 / 3
 /** Time to wait for an answer before the next request: several round trips between the regions that are farthest apart. */
-const ANSWER_MS = 500
+const ANSWER_TIMEOUT_MS = 500
 
 /**
  * Capacity on loan to one borrower. A loan is usable from its answer until its term, counted from the
@@ -28,11 +28,11 @@
  * A lowered limit therefore applies at once at every borrower that knows of it, without a message to the lender.
  */
 export class LimitBorrower {
-  private readonly loans = new Map<string, Held>()
+  private readonly loans = new Map<string, HeldLoan>()
   private returned: string[] = []
   private sequence = 0
-  private askedAt = -Infinity
-  private isWaiting = false
+  private lastRequestAt = -Infinity
+  private isAwaitingAnswer = false
 
   constructor (private readonly name: string, private readonly termMs: number) {}
 
@@ -44,23 +44,23 @@
   }
 
   /** Plans the next request; undefined when there is nothing to request or an answer may still arrive. A request supersedes earlier ones. */
-  plan (need: BorrowerNeed, now: number): LoanRequest | undefined {
-    if (this.isWaiting && now < this.askedAt + ANSWER_MS) return undefined
+  planRequest (need: BorrowerNeed, now: number): LoanRequest | undefined {
+    if (this.isAwaitingAnswer && now < this.lastRequestAt + ANSWER_TIMEOUT_MS) return undefined
     for (const [id, loan] of this.loans) if (now >= loan.until) this.loans.delete(id)
     this.returnUnneeded(need, now)
     const lacking = Math.max(0, need.wanted - this.countUsable(need.limit, now))
-    const due = [...this.loans].filter(([, loan]) => loan.limit <= need.limit && now >= loan.until - this.termMs * (1 - RENEW_AFTER))
+    const due = [...this.loans].filter(([, loan]) => loan.limit <= need.limit && now >= loan.until - this.termMs * (1 - RENEWAL_FRACTION))
     if (lacking === 0 && due.length === 0 && this.returned.length === 0) return undefined
     this.sequence += 1
-    this.askedAt = now
-    this.isWaiting = true
+    this.lastRequestAt = now
+    this.isAwaitingAnswer = true
     return { limit: this.name, sequence: this.sequence, sentAt: now, wanted: lacking, renewed: due.map(([id]) => id), returned: [...this.returned] }
   }
 
   /** Applies an answer to the last request. An answer to an earlier request is dropped, and its new loans expire unused. */
-  accept (request: LoanRequest, answer: LoanAnswer): void {
+  acceptAnswer (request: LoanRequest, answer: LoanAnswer): void {
     if (request.sequence !== this.sequence) return
-    this.isWaiting = false
+    this.isAwaitingAnswer = false
     this.returned = this.returned.filter((id) => !request.returned.includes(id))
     for (const { id, amount, limit } of answer.loans) {
       const known = this.loans.get(id)
--- a/packages/almondrelay/src/process/limits/limitLender.ts
+++ b/packages/almondrelay/src/process/limits/limitLender.ts
@@ -37,7 +37,7 @@
 export class LimitLender {
   private readonly loans = new Map<string, Loan>()
   private readonly answered = new Map<string, { sequence: number, answer: LoanAnswer, until: number }>()
-  private readonly short = new Map<string, Shortage>()
+  private readonly shortages = new Map<string, Shortage>()
   private created = 0
 
   /** `prefix` makes the loan ids unique across lenders. */
@@ -50,13 +50,13 @@
     if (last !== undefined && request.sequence <= last.sequence) return request.sequence === last.sequence ? last.answer : { termMs: this.termMs, loans: [] }
     const own = [...this.loans.values()].filter((loan) => isSameHost(loan.to, borrower))
     own.filter((loan) => request.returned.includes(loan.id)).forEach((loan) => this.loans.delete(loan.id))
-    const room = terms.computePool(now + computeGrantorWait(this.termMs, this.options)) - this.countLent(now)
-    const most = this.isShort(now, key) ? terms.fairShare : Infinity
-    const kept = room < 0 ? [] : pickUpTo(most, own.filter((loan) => this.loans.has(loan.id) && loan.lapsesAt > now))
+    const available = terms.computePool(now + computeGrantorWait(this.termMs, this.options)) - this.countLent(now)
+    const maxAmount = this.hasShortage(now, key) ? terms.fairShare : Infinity
+    const kept = available < 0 ? [] : pickLoansWithin(maxAmount, own.filter((loan) => this.loans.has(loan.id) && loan.lapsesAt > now))
     const renewed = kept.filter((loan) => request.renewed.includes(loan.id) && loan.limit <= terms.limit)
     renewed.forEach((loan) => this.renew(loan, terms, now))
-    const amount = Math.max(0, Math.min(request.wanted, room, most - this.countOf(borrower)))
-    this.short.set(key, { amount: request.wanted - amount, until: now + this.termMs })
+    const amount = Math.max(0, Math.min(request.wanted, available, maxAmount - this.countLentTo(borrower)))
+    this.shortages.set(key, { amount: request.wanted - amount, until: now + this.termMs })
     const created = amount > 0 ? [this.create(borrower, amount, terms, now)] : []
     const answer = { termMs: this.termMs, loans: [...renewed, ...created].map(({ id, amount, limit }) => ({ id, amount, limit })) }
     this.answered.set(key, { sequence: request.sequence, answer, until: now + this.computeBusyMs(terms) })
@@ -70,13 +70,13 @@
   }
 
   /** Whether a borrower, other than the one with the key `except`, got less than it wanted within the last term. */
-  isShort (now: number, except?: string): boolean {
-    return [...this.short].some(([key, shortage]) => key !== except && shortage.amount > 0 && now < shortage.until)
+  hasShortage (now: number, except?: string): boolean {
+    return [...this.shortages].some(([key, shortage]) => key !== except && shortage.amount > 0 && now < shortage.until)
   }
 
   /** Returns the capacity that borrowers wanted and didn't get within the last term. */
-  countShort (now: number): number {
-    return [...this.short.values()].reduce((sum, shortage) => sum + (now < shortage.until ? shortage.amount : 0), 0)
+  computeShortage (now: number): number {
+    return [...this.shortages.values()].reduce((sum, shortage) => sum + (now < shortage.until ? shortage.amount : 0), 0)
   }
 
   listLoans (now: number): Loan[] {
@@ -94,7 +94,7 @@
   clear (): void {
     this.loans.clear()
     this.answered.clear()
-    this.short.clear()
+    this.shortages.clear()
   }
 
   /** Shortens the loans of a borrower whose process is gone: no new work can begin on them, but work already begun may run on. */
@@ -103,7 +103,7 @@
     for (const loan of this.loans.values()) if (isSameHost(loan.to, host)) loan.busyUntil = Math.min(loan.busyUntil, busyUntil)
   }
 
-  private countOf (borrower: RosterHost): number {
+  private countLentTo (borrower: RosterHost): number {
     return [...this.loans.values()].reduce((sum, loan) => sum + (isSameHost(loan.to, borrower) ? loan.amount : 0), 0)
   }
 
@@ -127,16 +127,16 @@
   private expire (now: number): void {
     for (const [id, loan] of this.loans) if (now >= loan.busyUntil) this.loans.delete(id)
     for (const [key, last] of this.answered) if (now >= last.until) this.answered.delete(key)
-    for (const [key, shortage] of this.short) if (now >= shortage.until) this.short.delete(key)
+    for (const [key, shortage] of this.shortages) if (now >= shortage.until) this.shortages.delete(key)
   }
 }
 
 /** Picks loans whose total stays within an amount, larger ones first. The result for a borrower doesn't depend on the loans that it asks to renew. */
-function pickUpTo (most: number, loans: readonly Loan[]): Loan[] {
-  let rest = most
+function pickLoansWithin (maxAmount: number, loans: readonly Loan[]): Loan[] {
+  let remaining = maxAmount
   return [...loans].sort((left, right) => right.amount - left.amount || (left.id < right.id ? -1 : 1)).filter((loan) => {
-    if (loan.amount > rest) return false
-    rest -= loan.amount
+    if (loan.amount > remaining) return false
+    remaining -= loan.amount
     return true
   })
 }
--- a/packages/almondrelay/src/process/limits/limitShare.ts
+++ b/packages/almondrelay/src/process/limits/limitShare.ts
@@ -20,16 +20,16 @@
 }
 
 /** Ratio of requested capacity to measured demand, so that spare capacity is available when demand rises. */
-const HEADROOM = 1.25
+const HEADROOM_FACTOR = 1.25
 /** Factor by which a past peak of demand decays in each planning round; there are four rounds a second. */
-const DECAY = 0.9
+const PEAK_DECAY_FACTOR = 0.9
 /**
  * Peaks below this count as no demand. The peak of a single request decays below it
  * after 7 rounds, so that one refused request still leads to a loan.
  */
-const NO_DEMAND = 0.5
+const MIN_DEMAND = 0.5
 /** Number of host loan terms in one zone loan term: a host's loan must end before the zone's loan from which it is lent. */
-const HOST_TERMS = 3
+const HOST_TERMS_PER_ZONE_TERM = 3
 
 /**
  * The share of one limit that one host may use. The zone's share (a floor, and loans from the lender of the region)
@@ -44,7 +44,7 @@
   running = 0
   /** False once the configuration no longer declares the limit. */
   declared = true
-  private peak = 0
+  private peakDemand = 0
   private readonly hostTermMs: number
   /** Loans from the lender of the region, while this host holds the zone's share. */
   private readonly zoneLoans: LimitBorrower
@@ -55,7 +55,7 @@
   constructor (private readonly self: RosterHost, private readonly availabilityZone: string, private size: ShareSize, private readonly claims: PartClaims, private readonly options: LimitsOptions) {
     super()
     this.partId = `share/${size.spec.name}`
-    this.hostTermMs = options.loanTermMs / HOST_TERMS
+    this.hostTermMs = options.loanTermMs / HOST_TERMS_PER_ZONE_TERM
     this.zoneLoans = new LimitBorrower(size.spec.name, options.loanTermMs)
     this.hostLoans = new LimitBorrower(size.spec.name, this.hostTermMs)
     this.lender = new LimitLender(`${self.name};${self.incarnation}`, this.hostTermMs, options)
@@ -81,31 +81,31 @@
   }
 
   /** Records that `wanted` more requests were to run, whether or not they were admitted. */
-  observeDemand (wanted: number): void {
-    this.peak = Math.max(this.peak, this.running + wanted)
+  recordDemand (wanted: number): void {
+    this.peakDemand = Math.max(this.peakDemand, this.running + wanted)
   }
 
   /** Plans the next request for a loan and the host to send it to; an undefined host stands for the lender of the region. */
   planLoan (now: number): { host: string | undefined, request: LoanRequest } | undefined {
-    this.peak = Math.max(this.running, this.peak * DECAY)
+    this.peakDemand = Math.max(this.running, this.peakDemand * PEAK_DECAY_FACTOR)
     const limit = this.size.spec.maxInFlight
-    const demand = this.peak < NO_DEMAND ? 0 : Math.ceil(this.peak * HEADROOM)
+    const demand = this.peakDemand < MIN_DEMAND ? 0 : Math.ceil(this.peakDemand * HEADROOM_FACTOR)
     if (this.claims.isUsable(this.partId)) {
       const lent = this.lender.countLent(now)
       const floor = this.computeFloor()
-      const wanted = Math.max(0, demand + lent + this.lender.countShort(now) - floor)
-      const request = this.zoneLoans.plan({ wanted, used: Math.max(0, this.running + lent - floor), limit }, now)
+      const wanted = Math.max(0, demand + lent + this.lender.computeShortage(now) - floor)
+      const request = this.zoneLoans.planRequest({ wanted, used: Math.max(0, this.running + lent - floor), limit }, now)
       return request && { host: undefined, request }
     }
     const holder = this.claims.getHolder(this.partId)
     if (this.claims.isHeld(this.partId) || holder === undefined || isSameHost(holder, this.self)) return undefined
-    const request = this.hostLoans.plan({ wanted: demand, used: this.running, limit }, now)
+    const request = this.hostLoans.planRequest({ wanted: demand, used: this.running, limit }, now)
     return request && { host: holder.name, request }
   }
 
   acceptLoan (host: string | undefined, request: LoanRequest, answer: LoanAnswer): void {
-    if (host === undefined) this.zoneLoans.accept(request, answer)
-    else this.hostLoans.accept(request, answer)
+    if (host === undefined) this.zoneLoans.acceptAnswer(request, answer)
+    else this.hostLoans.acceptAnswer(request, answer)
   }
 
   /** Answers a loan request as holder of the zone's share; undefined when this host doesn't hold it. */
@@ -124,7 +124,7 @@
   }
 
   /** Returns the zone's loans, hands over the loans to hosts, and keeps the unlent remainder of the floor as a loan to this host itself. */
-  tryGiveUp (_part: string, now: number): PartGrant[] | undefined {
+  tryHandOver (_part: string, now: number): PartGrant[] | undefined {
     const floor = this.computeFloor()
     const lent = this.lender.countLent(now)
     if (lent + this.running > floor) return undefined
@@ -152,14 +152,14 @@
   }
 
   isIdle (now: number): boolean {
-    const out = this.lender.countLent(now) + this.zoneLoans.countUsable(Infinity, now) + this.hostLoans.countUsable(Infinity, now)
-    return this.running + out === 0 && !this.claims.hasObligation(this.partId, now)
+    const onLoan = this.lender.countLent(now) + this.zoneLoans.countUsable(Infinity, now) + this.hostLoans.countUsable(Infinity, now)
+    return this.running + onLoan === 0 && !this.claims.hasBindingGrants(this.partId, now)
   }
 
   /** As holder of the share: the capacity that isn't lent, and at most a fair share while other hosts lack capacity. */
   private computeOwnCapacity (now: number): number {
     const left = this.computeZoneCapacity(now) - this.lender.countLent(now)
-    return this.lender.isShort(now) ? Math.min(left, this.computeFairShare(now)) : left
+    return this.lender.hasShortage(now) ? Math.min(left, this.computeFairShare(now)) : left
   }
 
   private computeFairShare (now: number): number {
--- a/packages/almondrelay/src/process/limits/partClaims.ts
+++ b/packages/almondrelay/src/process/limits/partClaims.ts
@@ -1,4 +1,4 @@
-import { describeGiven } from './describeGiven.js'
+import { describeHandOver } from './describeHandOver.js'
 import { isSameHost } from './isSameHost.js'
 import { isTakeable } from './isTakeable.js'
 import type { LimitsOptions } from './limitsOptions.js'
@@ -48,7 +48,7 @@
   private view: ZoneView | undefined
   private readonly parts = new Map<string, PartState>()
   /** Processes known to be gone, including those that the roster doesn't name yet. */
-  private known: RosterHost[] = []
+  private knownGone: RosterHost[] = []
   /**
    * Parts for which this host ranks as holder and that it doesn't hold; cached until
    * that may change, so that requests don't pay for the computation.
@@ -107,7 +107,7 @@
   adoptRoster (roster: Roster, now: number): void {
     const former = this.view
     if (former !== undefined && roster.version <= former.roster.version) return
-    const next = new ZoneView(roster, this.known)
+    const next = new ZoneView(roster, this.knownGone)
     const losses = [...(former?.live ?? []).filter((host) => !roster.hosts.some((each) => isSameHost(each, host))), ...next.gone]
     const hasUnseenLoss = roster.version !== this.rosterVersion + 1 && (roster.lastLossVersion ?? roster.version) > this.rosterVersion
     this.markLost(hasUnseenLoss ? undefined : losses, now)
@@ -117,7 +117,7 @@
   /** Records that a process is gone, on definitive evidence only; missing reports are no such evidence. */
   markGone (host: RosterHost, now: number): void {
     if (isSameHost(host, this.self)) return
-    if (!this.known.some((each) => isSameHost(each, host))) this.known = [...this.known, host].slice(-MAX_KNOWN_GONE)
+    if (!this.knownGone.some((each) => isSameHost(each, host))) this.knownGone = [...this.knownGone, host].slice(-MAX_KNOWN_GONE)
     const next = this.view?.withGone([host])
     if (next === undefined || next === this.view) return
     this.markLost([host], now)
@@ -134,7 +134,7 @@
   }
 
   /** Whether a grant from a part that this host handed over may still bind; the next holder must be informed of such a grant. */
-  hasObligation (id: string, now: number): boolean {
+  hasBindingGrants (id: string, now: number): boolean {
     const given = this.parts.get(id)?.given
     return given !== undefined && listBindingGrants(given, now).length > 0
   }
@@ -162,10 +162,10 @@
     const view = this.view
     if (view === undefined) return []
     const wanted = this.listWanted()
-    return this.listOthers(view).flatMap((host) => {
+    return this.listPeers(view).flatMap((host) => {
       const open = wanted.filter((state) => !state.cleared.has(host.name))
       if (open.length === 0) return []
-      const ready = open.filter((state) => state.cleared.size >= this.listOthers(view).length - 1)
+      const ready = open.filter((state) => state.cleared.size >= this.listPeers(view).length - 1)
       const claim = { rosterVersion: view.roster.version, gone: view.gone }
       const batches = [
         { ...claim, parts: ready.map((state) => state.part.id), ready: true },
@@ -187,7 +187,7 @@
       ...answer,
       binding: true,
       held: claim.parts.filter((id) => this.isHeld(id)),
-      handedOver: claim.parts.flatMap((id) => describeGiven(this.parts.get(id), sender, view.key, now))
+      handedOver: claim.parts.flatMap((id) => describeHandOver(this.parts.get(id), sender, view.key, now))
     }
   }
 
@@ -218,7 +218,7 @@
     return new ZoneView(view.roster, claim.gone).key === view.key
   }
 
-  private listOthers (view: ZoneView): RosterHost[] {
+  private listPeers (view: ZoneView): RosterHost[] {
     return view.live.filter((host) => host.name !== this.self.name)
   }
 
@@ -234,7 +234,7 @@
 
   private isCleared (state: PartState): boolean {
     const view = this.view
-    return view !== undefined && this.listOthers(view).every((host) => state.cleared.has(host.name))
+    return view !== undefined && this.listPeers(view).every((host) => state.cleared.has(host.name))
   }
 
   private take (state: PartState, now: number): void {
--- a/packages/almondrelay/src/process/limits/regionLimits.ts
+++ b/packages/almondrelay/src/process/limits/regionLimits.ts
@@ -32,7 +32,7 @@
   private readonly self: RosterHost
   private readonly options: LimitsOptions
   private readonly shares = new Map<string, LimitShare>()
-  private readonly holders = new Map<string, LimitShare[]>()
+  private readonly sharesByHolder = new Map<string, LimitShare[]>()
   /** Expiry times of the credits that hold capacity, by credit id, in order of expiry. */
   private readonly credits = new Map<string, number>()
 
@@ -55,18 +55,18 @@
     this.expire(now)
     this.claims.advance(now)
     const shares = this.listShares(route)
-    shares.forEach((share) => share.observeDemand(1))
+    shares.forEach((share) => share.recordDemand(1))
     const full = shares.find((share) => share.computeFree(now) < 1)
     if (full !== undefined) return { allowed: false, reason: getReason(full.spec.kind), limit: full.spec.name }
-    if (runsUntil <= now || this.holders.has(holder)) return { allowed: false, reason: RefusalReason.deadlinePassed, limit: '' }
+    if (runsUntil <= now || this.sharesByHolder.has(holder)) return { allowed: false, reason: RefusalReason.deadlinePassed, limit: '' }
     shares.forEach((share) => { share.running += 1 })
-    this.holders.set(holder, shares)
+    this.sharesByHolder.set(holder, shares)
     return { allowed: true }
   }
 
   /** Records requests that wait for capacity, so that capacity is borrowed for them; otherwise a full share would never grow. */
-  observeDemand (route: LimitRoute, wanted: number): void {
-    this.listShares(route).forEach((share) => share.observeDemand(wanted))
+  recordDemand (route: LimitRoute, wanted: number): void {
+    this.listShares(route).forEach((share) => share.recordDemand(wanted))
   }
 
   /** Takes capacity for a credit, as `acquire` does for a request; it is released when the credit expires unused. */
@@ -79,10 +79,10 @@
   /** Transfers the credit's capacity to a request; false when the credit no longer holds any. */
   useCredit (creditId: string, holder: string, now: number): boolean {
     this.expire(now)
-    const shares = this.holders.get(creditId)
+    const shares = this.sharesByHolder.get(creditId)
     if (shares === undefined || !this.credits.delete(creditId)) return false
-    this.holders.delete(creditId)
-    this.holders.set(holder, shares)
+    this.sharesByHolder.delete(creditId)
+    this.sharesByHolder.set(holder, shares)
     return true
   }
 
@@ -90,8 +90,8 @@
   release (holder: string, now: number): void {
     this.expire(now)
     this.credits.delete(holder)
-    this.holders.get(holder)?.forEach((share) => { share.running -= 1 })
-    this.holders.delete(holder)
+    this.sharesByHolder.get(holder)?.forEach((share) => { share.running -= 1 })
+    this.sharesByHolder.delete(holder)
   }
 
   /** Counts the requests that the limits still admit on the route; Infinity where no limit is declared. */
--- a/packages/almondrelay/src/process/limits/targetSlots.ts
+++ b/packages/almondrelay/src/process/limits/targetSlots.ts
@@ -15,9 +15,9 @@
 }
 
 /** Fraction of a term after which a lease is renewed: two renewals can be lost before the lease expires. */
-const RENEW_AFTER = 1 / 3
+const RENEWAL_FRACTION = 1 / 3
 /** Number of lease terms without a request from the owner after which the standby uses the rest itself. */
-const PATIENCE_TERMS = 2
+const OWNER_TIMEOUT_TERMS = 2
 
 /**
  * The slots of one target that one host may use: a floor (half of the slots, rounded up), which the owner uses
@@ -43,7 +43,7 @@
   private rest!: PartStatus
   private leaseUntil = -Infinity
   private grant: SlotGrant | undefined
-  private ownerAskedAt = -Infinity
+  private lastOwnerRequestAt = -Infinity
 
   constructor (readonly service: string, readonly target: string, private size: TargetSize, private readonly claims: PartClaims, private readonly options: LimitsOptions) {
     super()
@@ -86,7 +86,7 @@
   /** Whether this host, as owner, should request or renew its lease now. */
   isRenewalDue (now: number): boolean {
     if (!this.configured || !this.isOwner() || this.rest.held) return false
-    return now >= this.leaseUntil - this.options.leaseTermMs * (1 - RENEW_AFTER)
+    return now >= this.leaseUntil - this.options.leaseTermMs * (1 - RENEWAL_FRACTION)
   }
 
   makeLease (rosterVersion: number): SlotLease {
@@ -102,7 +102,7 @@
   grantLease (sender: RosterHost, lease: SlotLease, now: number): SlotLease | undefined {
     const holder = this.claims.getHolder(this.floorId)
     if (holder === undefined || !isSameHost(holder, sender)) return undefined
-    this.ownerAskedAt = now
+    this.lastOwnerRequestAt = now
     if (!this.rest.usable || !this.isRestIdle()) return undefined
     if (this.grant !== undefined && !isSameHost(this.grant.to, sender) && now < this.grant.busyUntil) return undefined
     const termMs = Math.min(lease.termMs, this.options.leaseTermMs)
@@ -119,7 +119,7 @@
   }
 
   /** Returns the grant to hand over together with the part; undefined while this host's work needs the part. */
-  tryGiveUp (part: string, now: number): PartGrant[] | undefined {
+  tryHandOver (part: string, now: number): PartGrant[] | undefined {
     if (this.running + this.credits > this.computeCapacity(now)) return undefined
     if (part === this.floorId || this.grant === undefined) return []
     const busyMs = Math.max(0, this.grant.busyUntil - now)
@@ -132,14 +132,14 @@
 
   acceptPart (part: string, grants: readonly PartGrant[], now: number): void {
     if (part !== this.restId) return
-    this.ownerAskedAt = now
+    this.lastOwnerRequestAt = now
     this.grant = grants.reduce<SlotGrant | undefined>((merged, grant) => mergeGrants(merged, this.toGrant(grant, now)), undefined)
   }
 
   /** Whether the target can be removed: nothing runs on it, and no credit, lease, grant or obligation still binds. */
   isIdle (now: number): boolean {
     const bound = this.running > 0 || this.credits > 0 || now < this.leaseUntil + this.size.maxDeadlineMs || now < (this.grant?.busyUntil ?? -Infinity)
-    return !bound && !this.claims.hasObligation(this.restId, now)
+    return !bound && !this.claims.hasBindingGrants(this.restId, now)
   }
 
   private computeFloor (): number {
@@ -153,7 +153,7 @@
   private isRestUsable (now: number): boolean {
     if (!this.rest.usable) return now < this.leaseUntil && !this.rest.held
     if (this.grant !== undefined && now < this.grant.busyUntil) return false
-    return this.isOwner() || now >= this.ownerAskedAt + this.options.leaseTermMs * PATIENCE_TERMS
+    return this.isOwner() || now >= this.lastOwnerRequestAt + this.options.leaseTermMs * OWNER_TIMEOUT_TERMS
   }
 
   private isRestIdle (): boolean {
--- a/packages/almondrelay/src/process/limits/tryPassPart.ts
+++ b/packages/almondrelay/src/process/limits/tryPassPart.ts
@@ -4,7 +4,7 @@
 /** Hands a held part over to its next holder; false while work of this host still needs the part. In both cases new work no longer uses the part. */
 export function tryPassPart (state: PartState, to: RosterHost, viewKey: string, now: number): boolean {
   state.usable = false
-  const grants = state.user.tryGiveUp(state.part.id, now)
+  const grants = state.user.tryHandOver(state.part.id, now)
   if (grants === undefined) return false
   state.held = false
   state.lostAt = now
--- a/packages/almondrelay/src/process/limits/zoneView.ts
+++ b/packages/almondrelay/src/process/limits/zoneView.ts
@@ -37,8 +37,8 @@
 
   /** Returns this view with more members gone; the same object where nothing changes. */
   withGone (gone: readonly RosterHost[]): ZoneView {
-    const news = gone.filter((host) => this.has(host))
-    return news.length === 0 ? this : new ZoneView(this.roster, [...this.gone, ...news])
+    const newlyGone = gone.filter((host) => this.has(host))
+    return newlyGone.length === 0 ? this : new ZoneView(this.roster, [...this.gone, ...newlyGone])
   }
 }
 
