--- a/packages/almondrelay-stand-ins/src/capacity/heartbeatPair.ts
+++ b/packages/almondrelay-stand-ins/src/capacity/heartbeatPair.ts
@@ -49,9 +49,9 @@
     const peer = this.second.options.self.host
     return async () => {
       const now = this.options.clock.getNow()
-      const sent = this.first.buildWord(peer, now)
-      const answer = await client.exchange(create(ExchangeRequestSchema, sent.word))
-      this.first.receiveWord(answer, now, (progress) => Object.assign(progress, { confirmed: Math.max(progress.confirmed, sent.upTo), isBroken: false }))
+      const sent = this.first.buildMessage(peer, now)
+      const answer = await client.exchange(create(ExchangeRequestSchema, sent.message))
+      this.first.receiveMessage(answer, now, (progress) => Object.assign(progress, { confirmed: Math.max(progress.confirmed, sent.upTo), isBroken: false }))
     }
   }
 
--- a/packages/almondrelay/src/connection/caller/createCallerApp.ts
+++ b/packages/almondrelay/src/connection/caller/createCallerApp.ts
@@ -27,7 +27,7 @@
 }
 
 const REQUEST_PREFIX = '/s/'
-const NOT_READY_RETRY_MS = 1_000
+const NOT_READY_RETRY_AFTER_MS = 1_000
 
 /** Creates the HTTP app of the caller port: look-ups, requests, and the fencing of a request id by its caller. */
 export function createCallerApp (parts: CallerAppParts): Hono {
@@ -94,5 +94,5 @@
 }
 
 function refuseNotReady (): Answer {
-  return buildRefusal({ outcome: Outcome.notRun, reason: RefusalReason.notReady, message: 'this host has no configuration yet: try again, or ask another host', retryAfterMs: NOT_READY_RETRY_MS })
+  return buildRefusal({ outcome: Outcome.notRun, reason: RefusalReason.notReady, message: 'this host has no configuration yet: try again, or ask another host', retryAfterMs: NOT_READY_RETRY_AFTER_MS })
 }
--- a/packages/almondrelay/src/connection/caller/toHttpResponse.ts
+++ b/packages/almondrelay/src/connection/caller/toHttpResponse.ts
@@ -2,9 +2,9 @@
 import { HeaderName } from '../../request/contract/headerName.js'
 
 /** Statuses whose answers have no body (RFC 9110, sections 15.3.5 and 15.4.5). */
-const BODILESS: ReadonlySet<number> = new Set([204, 205, 304])
+const BODILESS_STATUSES: ReadonlySet<number> = new Set([204, 205, 304])
 /** Internal status for a caller that closed its connection. HTTP defines no such status, so 503 is sent instead, which nobody reads. */
-const CLIENT_CLOSED = 499
+const CLIENT_CLOSED_STATUS = 499
 
 /** Converts an answer to the HTTP response that the caller receives. */
 export function toHttpResponse (answer: Answer, host: string): Response {
@@ -18,6 +18,6 @@
     headers.set(HeaderName.retryAfter, String(Math.max(1, Math.ceil(answer.retryAfterMs / 1_000))))
     headers.set(HeaderName.retryAfterMs, String(Math.round(answer.retryAfterMs)))
   }
-  const status = answer.status === CLIENT_CLOSED ? 503 : answer.status
-  return new Response(BODILESS.has(status) ? null : answer.body as Uint8Array<ArrayBuffer>, { status, headers })
+  const status = answer.status === CLIENT_CLOSED_STATUS ? 503 : answer.status
+  return new Response(BODILESS_STATUSES.has(status) ? null : answer.body as Uint8Array<ArrayBuffer>, { status, headers })
 }
--- a/packages/almondrelay/src/connection/exchange/__fixtures__/fakeFleet.ts
+++ b/packages/almondrelay/src/connection/exchange/__fixtures__/fakeFleet.ts
@@ -44,7 +44,7 @@
   readonly network: FakeNetwork
   readonly hosts = new Map<string, FleetHost>()
   /** Hosts that can't reach the platform. */
-  readonly cutFromPlatform = new Set<string>()
+  readonly disconnectedFromPlatform = new Set<string>()
   private nextPort = 1
 
   constructor (private readonly seed = 1) {
@@ -52,8 +52,8 @@
   }
 
   /** Starts hosts `<region>-<zone>-<n>` for each zone `<region>-<zone>`; each knows all others from its settings. */
-  startZones (zones: readonly string[], hostsAZone: number): void {
-    const names = zones.flatMap((zone) => Array.from({ length: hostsAZone }, (_, index) => `${zone}-${String(index + 1).padStart(2, '0')}`))
+  startZones (zones: readonly string[], hostsPerZone: number): void {
+    const names = zones.flatMap((zone) => Array.from({ length: hostsPerZone }, (_, index) => `${zone}-${String(index + 1).padStart(2, '0')}`))
     for (const name of names) this.startHost(name, names)
   }
 
@@ -128,8 +128,8 @@
     for (const host of this.hosts.values()) host.owner.abort()
   }
 
-  getState (viewer: string, host: string): string | undefined {
-    return this.getHost(viewer).membership.getMember(host, this.clock.getNow())?.state
+  getState (observer: string, host: string): string | undefined {
+    return this.getHost(observer).membership.getMember(host, this.clock.getNow())?.state
   }
 
   private getAddress (host: string): string {
@@ -147,10 +147,10 @@
         const value: unknown = Reflect.get(platform, property)
         if (typeof value !== 'function') return value
         return async (...values: unknown[]) => {
-          const isCut = () => this.cutFromPlatform.has(host)
-          if (isCut()) throw makeCut()
+          const isDisconnected = () => this.disconnectedFromPlatform.has(host)
+          if (isDisconnected()) throw makeOutageError()
           const answer = await (value as (...values: unknown[]) => Promise<unknown>).apply(platform, values)
-          if (isCut()) throw makeCut()
+          if (isDisconnected()) throw makeOutageError()
           return answer
         }
       }
@@ -162,7 +162,7 @@
   }
 }
 
-function makeCut (): AlmondrelayError {
+function makeOutageError (): AlmondrelayError {
   return new AlmondrelayError({ kind: ErrorKind.platformUnavailable, message: 'cut from the platform', remedy: 'mend the network' })
 }
 
--- a/packages/almondrelay/src/connection/exchange/__fixtures__/fakeNetwork.ts
+++ b/packages/almondrelay/src/connection/exchange/__fixtures__/fakeNetwork.ts
@@ -30,13 +30,13 @@
   readonly bytes = new Map<string, number>()
   readonly exchanges = new Map<string, number>()
   /** Whether messages between two hosts are dropped. */
-  isCut: (from: string, to: string) => boolean = () => false
+  isDropped: (from: string, to: string) => boolean = () => false
   /** Whether calls from one host to another are lost, though calls in the other direction succeed. */
-  isCutForCalls: (from: string, to: string) => boolean = () => false
+  isCallDropped: (from: string, to: string) => boolean = () => false
   /** Whether a device between two hosts refuses connections in place of the called host. */
   isRejected: (from: string, to: string) => boolean = () => false
   /** Share of calls whose answers are lost. */
-  lossShare = 0
+  answerLossShare = 0
 
   constructor (private readonly clock: FakeClock, private readonly random: Random) {}
 
@@ -70,9 +70,9 @@
     await this.clock.sleep(LATENCY_MS, signal)
     if (endpoint === undefined || endpoint.isDead || this.isRejected(from, endpoint.host)) throw new ConnectError('connect', Code.Unavailable, undefined, undefined, Object.assign(new Error('refused'), { code: 'ECONNREFUSED' }))
     const sent = this.countBytes(from, endpoint.host, toBinary(requestSchema, request))
-    if (endpoint.isFrozen || this.isCut(from, endpoint.host) || this.isCutForCalls(from, endpoint.host)) await this.waitUntilTimeout(options, signal)
+    if (endpoint.isFrozen || this.isDropped(from, endpoint.host) || this.isCallDropped(from, endpoint.host)) await this.waitUntilTimeout(options, signal)
     const answer = this.countBytes(from, endpoint.host, toBinary(responseSchema, handle(fromBinary(requestSchema, sent), endpoint.hub)))
-    if (this.random() < this.lossShare || this.isCut(endpoint.host, from)) await this.waitUntilTimeout(options, signal)
+    if (this.random() < this.answerLossShare || this.isDropped(endpoint.host, from)) await this.waitUntilTimeout(options, signal)
     await this.clock.sleep(LATENCY_MS, signal)
     if (signal.aborted) throw new ConnectError('aborted', Code.Canceled)
     return fromBinary(responseSchema, answer)
--- a/packages/almondrelay/src/connection/exchange/__tests__/fleetFaults.test.ts
+++ b/packages/almondrelay/src/connection/exchange/__tests__/fleetFaults.test.ts
@@ -24,13 +24,13 @@
   /** Hosts whose process was killed, with one entry for each kill. */
   ended: string[]
   frozen: Set<string>
-  cutZones: Set<string>
+  disconnectedZones: Set<string>
   told: Array<Promise<WriteOutcome>>
 }
 
-function applyCuts (run: Run): void {
-  const isCutOff = (host: string) => [...run.cutZones].some((zone) => host.startsWith(zone))
-  run.fleet.network.isCut = (from, to) => run.frozen.has(from) || (from.slice(0, 5) !== to.slice(0, 5) && (isCutOff(from) || isCutOff(to)))
+function applyNetworkFaults (run: Run): void {
+  const isDisconnected = (host: string) => [...run.disconnectedZones].some((zone) => host.startsWith(zone))
+  run.fleet.network.isDropped = (from, to) => run.frozen.has(from) || (from.slice(0, 5) !== to.slice(0, 5) && (isDisconnected(from) || isDisconnected(to)))
 }
 
 function runStep (run: Run, step: FaultStep, index: number): void {
@@ -45,15 +45,15 @@
   if (step.kind === 'restart') restartHost(run, step.host)
   if (step.kind === 'freeze') run.frozen.add(step.host)
   if (step.kind === 'wake') run.frozen.delete(step.host)
-  if (step.kind === 'cut') run.cutZones.add(step.zone)
-  if (step.kind === 'mend') run.cutZones.delete(step.zone)
+  if (step.kind === 'cut') run.disconnectedZones.add(step.zone)
+  if (step.kind === 'mend') run.disconnectedZones.delete(step.zone)
   if (step.kind === 'outage') fleet.platform.faults.outage = true
   if (step.kind === 'platformBack') fleet.platform.faults.outage = false
-  if (step.kind === 'cutFromPlatform') fleet.cutFromPlatform.add(step.host)
-  if (step.kind === 'loss') fleet.network.lossShare = 0.3
+  if (step.kind === 'cutFromPlatform') fleet.disconnectedFromPlatform.add(step.host)
+  if (step.kind === 'loss') fleet.network.answerLossShare = 0.3
   if (step.kind === 'lostAnswer') fleet.platform.faults.lostAnswers += 1
   for (const name of HOSTS) fleet.getHost(name).endpoint.isFrozen = run.frozen.has(name)
-  applyCuts(run)
+  applyNetworkFaults(run)
 }
 
 function restartHost (run: Run, host: string): void {
@@ -65,12 +65,12 @@
 function restoreAll (run: Run): void {
   for (const host of [...run.dead]) restartHost(run, host)
   run.frozen.clear()
-  run.cutZones.clear()
-  run.fleet.cutFromPlatform.clear()
-  run.fleet.network.lossShare = 0
+  run.disconnectedZones.clear()
+  run.fleet.disconnectedFromPlatform.clear()
+  run.fleet.network.answerLossShare = 0
   Object.assign(run.fleet.platform.faults, { outage: false, lostAnswers: 0 })
   for (const host of HOSTS) run.fleet.getHost(host).endpoint.isFrozen = false
-  applyCuts(run)
+  applyNetworkFaults(run)
 }
 
 // Hosts end, restart, freeze and wake, zones are disconnected, the platform fails and recovers and answers
@@ -82,7 +82,7 @@
     const fleet = new FakeFleet()
     fleet.startZones(ZONES, 2)
     await fleet.clock.advance(4_000)
-    const run: Run = { fleet, dead: new Set(), ended: [], frozen: new Set(), cutZones: new Set(), told: [] }
+    const run: Run = { fleet, dead: new Set(), ended: [], frozen: new Set(), disconnectedZones: new Set(), told: [] }
     for (const [index, step] of steps.entries()) {
       runStep(run, step, index)
       await fleet.clock.advance(step.waitMs)
@@ -90,7 +90,7 @@
     }
     restoreAll(run)
     await fleet.clock.advance(40_000)
-    await checkMended(run)
+    await checkRecovered(run)
     fleet.stopAll()
   }), { seed: 15, numRuns: 40 })
 })
@@ -101,17 +101,17 @@
   for (const event of host.events) if (event.kind === 'gone') assert.ok(run.ended.includes(event.host), `${name} takes ${event.host} for dead`)
 }
 
-async function checkMended (run: Run): Promise<void> {
+async function checkRecovered (run: Run): Promise<void> {
   const { fleet } = run
   const log = await fleet.platform.list('changes/', '', 1_000, never)
-  const made = log.map((entry) => JSON.parse(entry.value) as { writeId: string, revision: number })
+  const storedChanges = log.map((entry) => JSON.parse(entry.value) as { writeId: string, revision: number })
   for (const outcome of await Promise.all(run.told)) {
-    if (outcome.outcome === 'accepted') assert.ok(made.some((change) => change.writeId === outcome.writeId && change.revision === outcome.revision))
-    else if (outcome.outcome !== 'unknown') assert.not.ok(made.some((change) => change.writeId === outcome.writeId))
+    if (outcome.outcome === 'accepted') assert.ok(storedChanges.some((change) => change.writeId === outcome.writeId && change.revision === outcome.revision))
+    else if (outcome.outcome !== 'unknown') assert.not.ok(storedChanges.some((change) => change.writeId === outcome.writeId))
   }
   for (const viewer of HOSTS) {
     checkHost(run, viewer)
-    assert.is(fleet.getHost(viewer).store.current.revision, made.length, `${viewer} has every change`)
+    assert.is(fleet.getHost(viewer).store.current.revision, storedChanges.length, `${viewer} has every change`)
     for (const host of HOSTS) assert.is(fleet.getState(viewer, host), 'live', `${viewer} sees ${host}`)
   }
 }
--- a/packages/almondrelay/src/connection/exchange/__tests__/handleExchange.test.ts
+++ b/packages/almondrelay/src/connection/exchange/__tests__/handleExchange.test.ts
@@ -62,7 +62,7 @@
 
 test('a heartbeat with arbitrary values in any field is accepted or refused, and causes no other error (seed 13)', async () => {
   const { fleet, host } = await startReadyHost()
-  const word = fc.record({
+  const arbitraryHost = fc.record({
     host: fc.oneof(fc.string(), fc.constantFrom('akl-a-01', 'akl-a-02')),
     incarnation: fc.bigInt({ min: 0n, max: 2n ** 64n - 1n }),
     availabilityZone: fc.oneof(fc.string(), fc.constant('akl-a')),
@@ -73,7 +73,7 @@
     ageMs: fc.integer({ min: 0, max: 2 ** 32 - 1 }),
     gone: fc.boolean()
   })
-  fc.assert(fc.property(word, fc.array(word, { maxLength: 4 }), (sender, hosts) => {
+  fc.assert(fc.property(arbitraryHost, fc.array(arbitraryHost, { maxLength: 4 }), (sender, hosts) => {
     const request: ExchangeRequest = create(ExchangeRequestSchema, { sender, revision: sender.revision, hosts })
     collectRefusal(() => handleExchange(request, host.hub))
     assert.is(host.store.current.revision, 1)
@@ -86,26 +86,26 @@
 // for changes that never arrive, or adopt invented ones.
 test('a revision that a peer can not prove is fetched change by change, and not trusted', async () => {
   const { fleet, host } = await startReadyHost()
-  const liar = fleet.startHost('akl-a-02', ['akl-a-01'])
+  const dishonestPeer = fleet.startHost('akl-a-02', ['akl-a-01'])
   await fleet.clock.advance(2_000)
-  const real = liar.hub.buildWord.bind(liar.hub)
-  liar.hub.buildWord = (peer, now) => {
-    const sent = real(peer, now)
-    return { ...sent, word: { ...sent.word, revision: 900n } }
+  const buildMessage = dishonestPeer.hub.buildMessage.bind(dishonestPeer.hub)
+  dishonestPeer.hub.buildMessage = (peer, now) => {
+    const sent = buildMessage(peer, now)
+    return { ...sent, message: { ...sent.message, revision: 900n } }
   }
   await fleet.clock.advance(20_000)
   assert.is(host.store.current.revision, 1)
   await host.changeLog.submit(makeWrite('w2', 'wlg'), new AbortController().signal)
   await fleet.clock.advance(6_000)
-  assert.is(liar.store.current.revision, 2)
+  assert.is(dishonestPeer.store.current.revision, 2)
   fleet.stopAll()
 })
 
 test('changes are served in order, as a snapshot where they are no longer kept, and not before the host is ready', async () => {
   const { fleet, host } = await startReadyHost()
-  const ask = (afterRevision: bigint) => handleFetchChanges(create(FetchChangesRequestSchema, { sender: SENDER, afterRevision, maxChanges: 10 }), host.hub)
-  assert.equal(ask(0n).changes.map((change) => change.writeId), ['w1'])
-  assert.equal(ask(1n).changes, [])
+  const fetchChanges = (afterRevision: bigint) => handleFetchChanges(create(FetchChangesRequestSchema, { sender: SENDER, afterRevision, maxChanges: 10 }), host.hub)
+  assert.equal(fetchChanges(0n).changes.map((change) => change.writeId), ['w1'])
+  assert.equal(fetchChanges(1n).changes, [])
   const fresh = fleet.startHost('akl-a-03', [])
   fresh.store.adoptSnapshot(host.store.buildSnapshot())
   assert.is(collectRefusal(() => handleFetchChanges(create(FetchChangesRequestSchema, { sender: SENDER }), fresh.hub)), 'not-ready')
@@ -113,7 +113,7 @@
   const answer = handleFetchChanges(create(FetchChangesRequestSchema, { sender: SENDER, maxChanges: 10 }), fresh.hub)
   assert.is(answer.snapshotRevision, 1n)
   assert.is(JSON.parse(answer.snapshot).writes[0].writeId, 'w1')
-  assert.is(collectRefusal(() => ask(2n ** 60n)), 'malformed')
+  assert.is(collectRefusal(() => fetchChanges(2n ** 60n)), 'malformed')
   fleet.stopAll()
 })
 
--- a/packages/almondrelay/src/connection/exchange/__tests__/realPeers.test.ts
+++ b/packages/almondrelay/src/connection/exchange/__tests__/realPeers.test.ts
@@ -19,16 +19,16 @@
 async function startPeer (host: string, seed?: { host: string, peerAddress: string }) {
   const owner = new AbortController()
   const paused = new AbortController()
-  const waitForEver = async (): Promise<never> => await new Promise(() => {})
+  const waitForever = async (): Promise<never> => await new Promise(() => {})
   const server = await listenForPeers('127.0.0.1:0', {
-    exchange: async (request) => paused.signal.aborted ? await waitForEver() : handleExchange(request, hub),
+    exchange: async (request) => paused.signal.aborted ? await waitForever() : handleExchange(request, hub),
     fetchChanges: (request) => handleFetchChanges(request, hub)
   }, owner.signal)
   const peerAddress = `127.0.0.1:${(server.address() as AddressInfo).port}`
-  const place = { availabilityZone: 'akl-a', region: 'akl', callerAddress: '' }
-  const settings = { self: { host, incarnation: 1_790_000_000_000, peerAddress, ...place }, heartbeatMs: 50, suspectAfterMs: 300 }
+  const location = { availabilityZone: 'akl-a', region: 'akl', callerAddress: '' }
+  const settings = { self: { host, incarnation: 1_790_000_000_000, peerAddress, ...location }, heartbeatMs: 50, suspectAfterMs: 300 }
   const membership = new Membership(settings)
-  if (seed !== undefined) membership.addSeed({ ...seed, isLeaving: false, ...place })
+  if (seed !== undefined) membership.addSeed({ ...seed, isLeaving: false, ...location })
   const hub = new ExchangeHub({
     ...settings,
     membership,
--- a/packages/almondrelay/src/connection/exchange/__tests__/runExchanges.test.ts
+++ b/packages/almondrelay/src/connection/exchange/__tests__/runExchanges.test.ts
@@ -6,21 +6,21 @@
 const never = new AbortController().signal
 const ZONES = ['akl-a', 'akl-b', 'wlg-a']
 
-async function startFleet (zones: readonly string[], hostsAZone: number): Promise<FakeFleet> {
+async function startFleet (zones: readonly string[], hostsPerZone: number): Promise<FakeFleet> {
   const fleet = new FakeFleet()
-  fleet.startZones(zones, hostsAZone)
+  fleet.startZones(zones, hostsPerZone)
   await fleet.clock.advance(5_000)
   return fleet
 }
 
-const listBelow = (fleet: FakeFleet, revision: number): string[] => [...fleet.hosts.values()].filter((host) => host.store.current.revision !== revision).map((host) => host.host)
+const listHostsNotAt = (fleet: FakeFleet, revision: number): string[] => [...fleet.hosts.values()].filter((host) => host.store.current.revision !== revision).map((host) => host.host)
 
 test('hosts find each other, become ready and carry a change to every host within a second', async () => {
   const fleet = await startFleet(ZONES, 3)
   assert.ok([...fleet.hosts.values()].every((host) => host.store.isReady))
   await fleet.getHost('wlg-a-03').changeLog.submit(makeWrite('w1', 'akl'), never)
   await fleet.clock.advance(1_000)
-  assert.equal(listBelow(fleet, 1), [])
+  assert.equal(listHostsNotAt(fleet, 1), [])
   for (const viewer of fleet.hosts.keys()) for (const host of fleet.hosts.keys()) assert.is(fleet.getState(viewer, host), 'live', `${viewer} sees ${host}`)
   fleet.stopAll()
 })
@@ -32,8 +32,8 @@
   await fleet.getHost('wlg-a-02').changeLog.submit(makeWrite('w1', 'akl'), never)
   await fleet.clock.advance(5_000)
   for (const viewer of fleet.hosts.values()) {
-    const behind = viewer.membership.listMembers(fleet.clock.getNow()).filter((member) => member.revision < 1).map((member) => member.host)
-    assert.equal(behind, [], viewer.host)
+    const laggingHosts = viewer.membership.listMembers(fleet.clock.getNow()).filter((member) => member.revision < 1).map((member) => member.host)
+    assert.equal(laggingHosts, [], viewer.host)
   }
   fleet.stopAll()
 })
@@ -53,11 +53,11 @@
 test('a frozen process is only suspected, and live again after it wakes', async () => {
   const fleet = await startFleet(ZONES, 3)
   fleet.getHost('akl-a-02').endpoint.isFrozen = true
-  fleet.network.isCut = (from) => from === 'akl-a-02'
+  fleet.network.isDropped = (from) => from === 'akl-a-02'
   await fleet.clock.advance(60_000)
   for (const viewer of ['akl-a-01', 'akl-a-03', 'akl-b-01', 'wlg-a-01']) assert.is(fleet.getState(viewer, 'akl-a-02'), 'suspected', viewer)
   fleet.getHost('akl-a-02').endpoint.isFrozen = false
-  fleet.network.isCut = () => false
+  fleet.network.isDropped = () => false
   await fleet.clock.advance(5_000)
   for (const viewer of ['akl-a-01', 'akl-b-01', 'wlg-a-01']) assert.is(fleet.getState(viewer, 'akl-a-02'), 'live', viewer)
   const gone = [...fleet.hosts.values()].flatMap((host) => host.events).filter((event) => event.kind === 'gone')
@@ -85,11 +85,11 @@
 test('a host is suspected by a peer that can not reach it, though its messages arrive', async () => {
   for (const [from, to] of [['akl-a-01', 'akl-a-02'], ['akl-a-02', 'akl-a-01']] as const) {
     const fleet = await startFleet(ZONES, 3)
-    fleet.network.isCutForCalls = (caller, callee) => caller === from && callee === to
+    fleet.network.isCallDropped = (caller, callee) => caller === from && callee === to
     await fleet.clock.advance(8_000)
     assert.is(fleet.getState(from, to), 'suspected', `${from} to ${to}`)
     for (const viewer of ['akl-a-03', 'akl-b-01', 'wlg-a-01']) assert.is(fleet.getState(viewer, to), 'live', viewer)
-    fleet.network.isCutForCalls = () => false
+    fleet.network.isCallDropped = () => false
     await fleet.clock.advance(5_000)
     assert.is(fleet.getState(from, to), 'live')
     fleet.stopAll()
@@ -101,8 +101,8 @@
 // on both sides stopped.
 test('refused connections between zones end no live host', async () => {
   const fleet = await startFleet(ZONES, 2)
-  const isAround = (host: string): boolean => host.startsWith('wlg-a')
-  fleet.network.isRejected = (from, to) => isAround(from) !== isAround(to)
+  const isInZone = (host: string): boolean => host.startsWith('wlg-a')
+  fleet.network.isRejected = (from, to) => isInZone(from) !== isInZone(to)
   await fleet.clock.advance(10_000)
   assert.is(fleet.getState('akl-a-01', 'wlg-a-01'), 'suspected')
   fleet.network.isRejected = () => false
@@ -149,7 +149,7 @@
   await fleet.clock.advance(10_000)
   await restarted.changeLog.submit(makeWrite('w2', 'wlg'), never)
   await fleet.clock.advance(1_000)
-  assert.equal(listBelow(fleet, 2), [])
+  assert.equal(listHostsNotAt(fleet, 2), [])
   fleet.stopAll()
 })
 
@@ -169,10 +169,10 @@
 // configuration indefinitely if heartbeats did not state the revision and changes were not fetched from peers.
 test('a zone that is cut from the platform gets changes from the other zones', async () => {
   const fleet = await startFleet(ZONES, 2)
-  fleet.cutFromPlatform.add('akl-b-01').add('akl-b-02')
+  fleet.disconnectedFromPlatform.add('akl-b-01').add('akl-b-02')
   for (let index = 1; index <= 5; index++) await fleet.getHost('wlg-a-01').changeLog.submit(makeWrite(`w${index}`, `r${index}`), never)
   await fleet.clock.advance(2_500)
-  assert.equal(listBelow(fleet, 5), [])
+  assert.equal(listHostsNotAt(fleet, 5), [])
   fleet.stopAll()
 })
 
@@ -182,18 +182,18 @@
   const fleet = await startFleet(ZONES, 2)
   await fleet.getHost('akl-a-01').changeLog.submit(makeWrite('w1', 'akl'), never)
   await fleet.clock.advance(2_000)
-  const isInside = (host: string) => host.startsWith('akl-b')
-  fleet.network.isCut = (from, to) => isInside(from) !== isInside(to)
-  fleet.cutFromPlatform.add('akl-b-01').add('akl-b-02')
+  const isInZone = (host: string) => host.startsWith('akl-b')
+  fleet.network.isDropped = (from, to) => isInZone(from) !== isInZone(to)
+  fleet.disconnectedFromPlatform.add('akl-b-01').add('akl-b-02')
   await fleet.getHost('akl-a-01').changeLog.submit(makeWrite('w2', 'wlg'), never)
   await fleet.clock.advance(20_000)
   assert.is(fleet.getHost('akl-b-01').store.current.revision, 1)
   assert.is(fleet.getState('akl-b-01', 'akl-b-02'), 'live')
   assert.is(fleet.getState('wlg-a-02', 'akl-b-01'), 'suspected')
-  fleet.network.isCut = () => false
-  fleet.cutFromPlatform.clear()
+  fleet.network.isDropped = () => false
+  fleet.disconnectedFromPlatform.clear()
   await fleet.clock.advance(10_000)
-  assert.equal(listBelow(fleet, 2), [])
+  assert.equal(listHostsNotAt(fleet, 2), [])
   for (const host of fleet.hosts.values()) assert.equal(host.revisions, [...host.revisions].sort((a, b) => a - b))
   fleet.stopAll()
 })
@@ -203,7 +203,7 @@
 test('a leaving target is known to every host within 3 s', async () => {
   const fleet = await startFleet(ZONES, 3)
   fleet.getHost('akl-a-03').leavingTargets.observe({ service: 'balances', target: 't1', isLeaving: true, ageMs: 0 }, fleet.clock.getNow())
-  fleet.getHost('akl-a-03').hub.wakePeers()
+  fleet.getHost('akl-a-03').hub.wakeExchanges()
   await fleet.clock.advance(3_000)
   for (const host of fleet.hosts.values()) assert.ok(host.leavingTargets.isLeaving('balances', 't1'), host.host)
   fleet.stopAll()
--- a/packages/almondrelay/src/connection/exchange/decodeSummary.ts
+++ b/packages/almondrelay/src/connection/exchange/decodeSummary.ts
@@ -3,7 +3,7 @@
 import { ResourceName } from '../../version/resources/resourceName.js'
 import type { Summary } from '../../process/membership/summary.js'
 import { decodeCount } from './decodeCount.js'
-import { LONGEST_AGE_MS } from './longestAgeMs.js'
+import { MAX_SUMMARY_AGE_MS } from './longestAgeMs.js'
 import { makeRefusal } from './makeRefusal.js'
 import { PeerRefusal } from './peerRefusal.js'
 
@@ -15,7 +15,7 @@
   const names = [summary.host, summary.availabilityZone, summary.region]
   const isSound = names.every((name) => ResourceName.safeParse(name).success) && isAddress(summary.callerAddress) && isAddress(summary.peerAddress) && summary.loads.length <= MAX_LOADS
   if (!isSound) throw makeRefusal(PeerRefusal.malformed, `a summary of host '${summary.host.slice(0, 63)}' has a name or address that can't be`)
-  const isSilent = summary.ageMs > LONGEST_AGE_MS
+  const isSilent = summary.ageMs > MAX_SUMMARY_AGE_MS
   return {
     host: summary.host,
     incarnation: decodeCount(summary.incarnation),
@@ -27,7 +27,7 @@
     isLeaving: summary.leaving,
     isGone: summary.gone,
     isSilent,
-    ageMs: isSilent ? summary.ageMs - LONGEST_AGE_MS - 1 : summary.ageMs,
+    ageMs: isSilent ? summary.ageMs - MAX_SUMMARY_AGE_MS - 1 : summary.ageMs,
     loads: summary.loads.map(({ service, freeSlots, running }) => ({ service, freeSlots, running }))
   }
 }
--- a/packages/almondrelay/src/connection/exchange/encodeSummary.ts
+++ b/packages/almondrelay/src/connection/exchange/encodeSummary.ts
@@ -2,11 +2,11 @@
 import { HostSummarySchema, ServiceLoadSchema } from 'almondrelay-protocol'
 import type { HostSummary } from 'almondrelay-protocol'
 import type { Summary } from '../../process/membership/summary.js'
-import { LONGEST_AGE_MS } from './longestAgeMs.js'
+import { MAX_SUMMARY_AGE_MS } from './longestAgeMs.js'
 
 /** Encodes a host summary for a message to a peer. The age of a host that sends no reports is encoded above `MAX_SUMMARY_AGE_MS`. */
 export function encodeSummary (summary: Summary): HostSummary {
-  const ageMs = Math.min(summary.ageMs, LONGEST_AGE_MS)
+  const ageMs = Math.min(summary.ageMs, MAX_SUMMARY_AGE_MS)
   return create(HostSummarySchema, {
     host: summary.host,
     incarnation: BigInt(summary.incarnation),
@@ -17,7 +17,7 @@
     leaving: summary.isLeaving,
     gone: summary.isGone,
     revision: BigInt(summary.revision),
-    ageMs: summary.isSilent ? ageMs + LONGEST_AGE_MS + 1 : ageMs,
+    ageMs: summary.isSilent ? ageMs + MAX_SUMMARY_AGE_MS + 1 : ageMs,
     loads: summary.loads.map((load) => create(ServiceLoadSchema, load))
   })
 }
--- a/packages/almondrelay/src/connection/exchange/exchangeHub.ts
+++ b/packages/almondrelay/src/connection/exchange/exchangeHub.ts
@@ -12,22 +12,22 @@
 import { encodeSummary } from './encodeSummary.js'
 import type { ExchangeOptions } from './exchangeOptions.js'
 import { makeRefusal } from './makeRefusal.js'
-import type { OutgoingWord } from './outgoingWord.js'
+import type { OutgoingMessage } from './outgoingMessage.js'
 import { PeerRefusal } from './peerRefusal.js'
 import type { PeerProgress } from './peerProgress.js'
 import { PROTOCOL_VERSION } from '../../process/dispatch/protocolVersion.js'
 import { RefreshRotation } from './refreshRotation.js'
 
 /** Maximum number of updates in one message: at about 90 bytes each, under 750 bytes. */
-const MAX_NEWS = 8
+const MAX_UPDATES_PER_MESSAGE = 8
 /** Maximum number of summaries, and of leaving targets, in a received message. */
-const MAX_RECEIVED = 256
+const MAX_RECEIVED_ENTRIES = 256
 /** Time for which the progress of a peer that sends no messages is kept, so that it needn't be sent everything again when it is back. */
-const KEEP_PEER_MS = 600_000
+const PEER_RETENTION_MS = 600_000
 /** Time for which a host that sent a newer revision stays a temporary neighbour, so that its changes can be fetched. */
-const VISIT_MS = 2_000
+const TEMPORARY_NEIGHBOUR_MS = 2_000
 /** A repair blocks repairs from other peers for at most this long, as its peer may be paused. */
-const REPAIR_ALONE_MS = 500
+const EXCLUSIVE_REPAIR_MS = 500
 
 const refusals: Record<Exclude<HeartbeatVerdict, 'accepted'>, PeerRefusal> = {
   [HeartbeatVerdict.staleIncarnation]: PeerRefusal.staleIncarnation,
@@ -43,17 +43,17 @@
 export class ExchangeHub {
   private readonly peers = new Map<string, PeerProgress>()
   private readonly wakers = new Map<string, () => void>()
-  private repairBegunAt = -Infinity
+  private repairStartedAt = -Infinity
   private peerCount = 0
 
   constructor (readonly options: ExchangeOptions, signal: AbortSignal) {
     const { membership, store } = options
-    const unsubscribe = membership.subscribe((event) => { if (event.kind === 'news') this.wakePeers() })
+    const unsubscribe = membership.subscribe((event) => { if (event.kind === 'news') this.wakeExchanges() })
     signal.addEventListener('abort', unsubscribe, { once: true })
     membership.updateSelf({ revision: store.current.revision })
     store.subscribe((configuration) => {
       membership.updateSelf({ revision: configuration.revision })
-      this.wakePeers()
+      this.wakeExchanges()
     }, signal)
   }
 
@@ -72,32 +72,32 @@
 
   prunePeers (now: number): void {
     for (const [host, progress] of this.peers) {
-      if (progress.incarnation > 0 && now - progress.contactAt > KEEP_PEER_MS) this.peers.delete(host)
+      if (progress.incarnation > 0 && now - progress.lastContactAt > PEER_RETENTION_MS) this.peers.delete(host)
     }
   }
 
   /** Lists the hosts that recently sent a newer revision than the one in this store, whether or not they are planned neighbours. */
-  listVisitors (now: number): Neighbour[] {
+  listTemporaryNeighbours (now: number): Neighbour[] {
     const { membership, store, heartbeatMs } = this.options
     return [...this.peers]
-      .filter(([, progress]) => progress.revision > store.current.revision && now - progress.contactAt < VISIT_MS)
+      .filter(([, progress]) => progress.revision > store.current.revision && now - progress.lastContactAt < TEMPORARY_NEIGHBOUR_MS)
       .map(([host]) => ({ host, peerAddress: membership.getMember(host, now)?.peerAddress ?? '', intervalMs: heartbeatMs }))
       .filter((neighbour) => neighbour.peerAddress !== '')
   }
 
   /** Whether to fetch changes from a peer now: it has newer ones, its last fetch did not fail recently, and no other fetch is in progress. */
-  allowRepair (host: string, now: number): boolean {
+  isRepairAllowed (host: string, now: number): boolean {
     const progress = this.getProgress(host)
-    return progress.revision > this.options.store.current.revision && now >= progress.distrustedUntil && now - this.repairBegunAt > REPAIR_ALONE_MS
+    return progress.revision > this.options.store.current.revision && now >= progress.repairBlockedUntil && now - this.repairStartedAt > EXCLUSIVE_REPAIR_MS
   }
 
   beginRepair (now: number): void {
-    this.repairBegunAt = now
+    this.repairStartedAt = now
   }
 
   finishRepair (): void {
-    this.repairBegunAt = -Infinity
-    this.wakePeers()
+    this.repairStartedAt = -Infinity
+    this.wakeExchanges()
   }
 
   /** Calls `wake` whenever there may be something to send to the peer or to fetch from it, until the returned function is called. */
@@ -106,17 +106,17 @@
     return () => { if (this.wakers.get(host) === wake) this.wakers.delete(host) }
   }
 
-  wakePeers (): void {
+  wakeExchanges (): void {
     for (const wake of [...this.wakers.values()]) wake()
   }
 
   /** Whether to send updates to the peer before its next heartbeat is due. A long queue of updates is sent with the regular heartbeats. */
-  hasNews (host: string): boolean {
+  hasUpdates (host: string): boolean {
     const progress = this.getProgress(host)
     const { membership, leavingTargets, store } = this.options
-    if (store.isReady && store.current.revision > Math.max(progress.toldRevision, progress.revision)) return true
-    const backlog = membership.news.latest - progress.confirmed
-    return (backlog > 0 && backlog <= MAX_NEWS) || leavingTargets.news.latest > progress.confirmedTargets
+    if (store.isReady && store.current.revision > Math.max(progress.sentRevision, progress.revision)) return true
+    const unconfirmedUpdates = membership.news.latest - progress.confirmed
+    return (unconfirmedUpdates > 0 && unconfirmedUpdates <= MAX_UPDATES_PER_MESSAGE) || leavingTargets.news.latest > progress.confirmedTargets
   }
 
   makeSender (): Sender {
@@ -124,13 +124,13 @@
     return create(SenderSchema, { host, incarnation: BigInt(incarnation), availabilityZone, region, protocolVersion: PROTOCOL_VERSION })
   }
 
-  buildWord (peer: string, now: number): OutgoingWord {
+  buildMessage (peer: string, now: number): OutgoingMessage {
     const { membership, leavingTargets, store, self } = this.options
     const progress = this.getProgress(peer)
-    const news = membership.news.listAfter(progress.confirmed, MAX_NEWS)
-    const targetNews = leavingTargets.news.listAfter(progress.confirmedTargets, MAX_NEWS)
-    const fill = progress.backlog.slice(-Math.max(1, MAX_NEWS - news.keys.length))
-    const names = new Set([...news.keys, ...fill])
+    const updates = membership.news.listAfter(progress.confirmed, MAX_UPDATES_PER_MESSAGE)
+    const targetUpdates = leavingTargets.news.listAfter(progress.confirmedTargets, MAX_UPDATES_PER_MESSAGE)
+    const backlogHosts = progress.backlog.slice(-Math.max(1, MAX_UPDATES_PER_MESSAGE - updates.keys.length))
+    const names = new Set([...updates.keys, ...backlogHosts])
     if (progress.isBroken) names.add(self.host)
     if (now - progress.refreshedAt >= computeRefreshMs(this.peerCount)) {
       progress.refreshedAt = now
@@ -138,18 +138,18 @@
     }
     names.delete(peer)
     const hosts = [...names].map((name) => membership.getSummary(name, now)).filter((summary): summary is Summary => summary !== undefined)
-    const targets = targetNews.keys.map((key) => leavingTargets.getWord(key, now)).filter((each) => each !== undefined)
+    const targets = targetUpdates.keys.map((key) => leavingTargets.getWord(key, now)).filter((each) => each !== undefined)
     return {
-      word: {
+      message: {
         sender: this.makeSender(),
         revision: BigInt(store.isReady ? store.current.revision : 0),
         hosts: hosts.map(encodeSummary),
         leavingTargets: targets.map(({ service, target, isLeaving, ageMs }) => create(LeavingTargetSchema, { service, target, leaving: isLeaving, ageMs }))
       },
       revision: store.isReady ? store.current.revision : 0,
-      upTo: news.upTo,
-      backlogLeft: progress.backlog.length - fill.length,
-      upToTargets: targetNews.upTo
+      upTo: updates.upTo,
+      backlogLeft: progress.backlog.length - backlogHosts.length,
+      upToTargets: targetUpdates.upTo
     }
   }
 
@@ -157,30 +157,30 @@
    * Validates the whole message before applying any of it; throws a refusal if it is invalid. `confirm` records which
    * updates the peer is known to have according to this message.
    */
-  receiveWord (message: ExchangeRequest | ExchangeResponse, now: number, confirm: (progress: PeerProgress, told: Summary | undefined) => void): HeartbeatSender {
+  receiveMessage (message: ExchangeRequest | ExchangeResponse, now: number, confirm: (progress: PeerProgress, ownSummary: Summary | undefined) => void): HeartbeatSender {
     const { membership, leavingTargets } = this.options
     const sender = decodeSender(message.sender, message.revision)
-    if (message.hosts.length > MAX_RECEIVED || message.leavingTargets.length > MAX_RECEIVED) throw makeRefusal(PeerRefusal.malformed, `the message brings more than ${MAX_RECEIVED} summaries`)
+    if (message.hosts.length > MAX_RECEIVED_ENTRIES || message.leavingTargets.length > MAX_RECEIVED_ENTRIES) throw makeRefusal(PeerRefusal.malformed, `the message brings more than ${MAX_RECEIVED_ENTRIES} summaries`)
     const summaries = message.hosts.map(decodeSummary)
-    const told = summaries.find((summary) => summary.host === sender.host && summary.incarnation === sender.incarnation)
-    const before = { news: membership.news.latest, targets: leavingTargets.news.latest }
-    const verdict = membership.observeHeartbeat(sender, told, now)
+    const ownSummary = summaries.find((summary) => summary.host === sender.host && summary.incarnation === sender.incarnation)
+    const previousUpdates = { news: membership.news.latest, targets: leavingTargets.news.latest }
+    const verdict = membership.observeHeartbeat(sender, ownSummary, now)
     if (verdict !== HeartbeatVerdict.accepted) throw makeRefusal(refusals[verdict], `${sender.host}, incarnation ${sender.incarnation}, is refused`)
-    const progress = this.touchPeer(sender, now)
-    confirm(progress, told)
+    const progress = this.recordContact(sender, now)
+    confirm(progress, ownSummary)
     for (const summary of summaries) if (summary.host !== sender.host) membership.observeSummary(summary, now)
     for (const each of message.leavingTargets) this.observeTarget(each, now)
     // Updates received from the peer need not be sent back to it, unless older updates to it are still unconfirmed.
-    if (progress.confirmed >= before.news) progress.confirmed = membership.news.latest
-    if (progress.confirmedTargets >= before.targets) progress.confirmedTargets = leavingTargets.news.latest
+    if (progress.confirmed >= previousUpdates.news) progress.confirmed = membership.news.latest
+    if (progress.confirmedTargets >= previousUpdates.targets) progress.confirmedTargets = leavingTargets.news.latest
     return sender
   }
 
-  private touchPeer (sender: HeartbeatSender, now: number): PeerProgress {
+  private recordContact (sender: HeartbeatSender, now: number): PeerProgress {
     const known = this.getProgress(sender.host)
     const progress = known.incarnation === sender.incarnation ? known : this.beginProgress(sender)
     this.peers.set(sender.host, progress)
-    progress.contactAt = now
+    progress.lastContactAt = now
     progress.revision = sender.revision
     return progress
   }
@@ -191,13 +191,13 @@
    */
   private beginProgress (peer: HeartbeatSender): PeerProgress {
     const hosts = this.options.membership.listHosts()
-    const [own, others] = [true, false].map((isOwn) => hosts.filter((each) => (each.availabilityZone === peer.availabilityZone) === isOwn).map((each) => each.host))
-    return { ...this.makeProgress(peer.incarnation), confirmed: this.options.membership.news.latest, backlog: [...others ?? [], ...own ?? []] }
+    const [ownZoneHosts, otherHosts] = [true, false].map((isOwn) => hosts.filter((each) => (each.availabilityZone === peer.availabilityZone) === isOwn).map((each) => each.host))
+    return { ...this.makeProgress(peer.incarnation), confirmed: this.options.membership.news.latest, backlog: [...otherHosts ?? [], ...ownZoneHosts ?? []] }
   }
 
-  private observeTarget (word: LeavingTarget, now: number): void {
+  private observeTarget (leavingTarget: LeavingTarget, now: number): void {
     const { leavingTargets } = this.options
-    if (leavingTargets.observe({ service: word.service, target: word.target, isLeaving: word.leaving, ageMs: word.ageMs }, now)) this.wakePeers()
+    if (leavingTargets.observe({ service: leavingTarget.service, target: leavingTarget.target, isLeaving: leavingTarget.leaving, ageMs: leavingTarget.ageMs }, now)) this.wakeExchanges()
   }
 
   private makeProgress (incarnation: number): PeerProgress {
@@ -210,13 +210,13 @@
       confirmedTargets: 0,
       offered: 0,
       offeredTargets: 0,
-      contactAt: -Infinity,
+      lastContactAt: -Infinity,
       refreshedAt: -Infinity,
       rotation: new RefreshRotation(membership, self.availabilityZone),
       isBroken: true,
       revision: 0,
-      toldRevision: 0,
-      distrustedUntil: -Infinity
+      sentRevision: 0,
+      repairBlockedUntil: -Infinity
     }
   }
 }
--- a/packages/almondrelay/src/connection/exchange/handleExchange.ts
+++ b/packages/almondrelay/src/connection/exchange/handleExchange.ts
@@ -11,16 +11,16 @@
  */
 export function handleExchange (request: ExchangeRequest, hub: ExchangeHub): ExchangeResponse {
   const now = hub.options.clock.getNow()
-  const sender = hub.receiveWord(request, now, (progress, told) => {
-    if (told !== undefined) return
+  const sender = hub.receiveMessage(request, now, (progress, ownSummary) => {
+    if (ownSummary !== undefined) return
     progress.confirmed = Math.max(progress.confirmed, progress.offered)
     progress.backlog.length = Math.min(progress.backlog.length, progress.offeredBacklogLeft)
     progress.confirmedTargets = Math.max(progress.confirmedTargets, progress.offeredTargets)
   })
-  const answer = hub.buildWord(sender.host, now)
+  const answer = hub.buildMessage(sender.host, now)
   const progress = hub.getProgress(sender.host)
-  Object.assign(progress, { offered: answer.upTo, offeredBacklogLeft: answer.backlogLeft, offeredTargets: answer.upToTargets, toldRevision: answer.revision, isBroken: false })
+  Object.assign(progress, { offered: answer.upTo, offeredBacklogLeft: answer.backlogLeft, offeredTargets: answer.upToTargets, sentRevision: answer.revision, isBroken: false })
   hub.options.log.trace({ peer: sender.host, revision: sender.revision }, 'heartbeat received')
-  if (sender.revision > hub.options.store.current.revision) hub.wakePeers()
-  return create(ExchangeResponseSchema, answer.word)
+  if (sender.revision > hub.options.store.current.revision) hub.wakeExchanges()
+  return create(ExchangeResponseSchema, answer.message)
 }
--- a/packages/almondrelay/src/connection/exchange/handleFetchChanges.ts
+++ b/packages/almondrelay/src/connection/exchange/handleFetchChanges.ts
@@ -10,7 +10,7 @@
 
 const MAX_CHANGES = 64
 /** Maximum size of the changes in one answer, which always has at least one change; a change may be as long as a megabyte. */
-const MAX_BYTES = 2 * 1_048_576
+const MAX_CHANGES_BYTES = 2 * 1_048_576
 
 /** Returns the changes after a revision, or a snapshot if they are no longer retained. */
 export function handleFetchChanges (request: FetchChangesRequest, hub: ExchangeHub): FetchChangesResponse {
@@ -31,6 +31,6 @@
   let bytes = 0
   return kept.filter(({ body }, index) => {
     bytes += body.length
-    return index === 0 || bytes <= MAX_BYTES
+    return index === 0 || bytes <= MAX_CHANGES_BYTES
   })
 }
--- a/packages/almondrelay/src/connection/exchange/measureExchangeBytes.ts
+++ b/packages/almondrelay/src/connection/exchange/measureExchangeBytes.ts
@@ -10,25 +10,25 @@
 /** HTTP/2 and Connect framing of one exchange, in both directions, as measured at a socket; see docs/design/membership.md. */
 const FRAMING_BYTES = 102
 /** Time between two calls of a host to a watcher that isn't its planned neighbour, for each host of the zone. */
-const VISIT_INTERVAL_A_HOST_MS = 340
+const VISIT_INTERVAL_PER_HOST_MS = 340
 const INCARNATION = 1_790_000_000_000
 
 interface FleetSize {
   regions: number
-  zonesARegion: number
-  hostsAZone: number
+  zonesPerRegion: number
+  hostsPerZone: number
   /** Number of services whose load a summary contains. */
   services: number
 }
 
 interface ExchangeCost {
   neighbours: number
-  exchangesASecond: number
+  exchangesPerSecond: number
   /** Size of a message without updates; `refreshBytes` is the size of the summaries that a refresh adds. */
   heartbeatBytes: number
   refreshBytes: number
   /** Bytes sent plus bytes received, without TCP and IP headers. */
-  bytesASecond: number
+  bytesPerSecond: number
 }
 
 /** Computes the bytes that heartbeats cost a watcher of a zone, which has the most peers, in a fleet without changes. */
@@ -41,14 +41,14 @@
   const plan = membership.planNeighbours(1)
   const planned = new Set(plan.map((neighbour) => neighbour.host))
   const visitors = others.filter((other) => other.availabilityZone === self.availabilityZone && !planned.has(other.host)).length
-  const visitIntervalMs = Math.max(2_000, size.hostsAZone * VISIT_INTERVAL_A_HOST_MS)
+  const visitIntervalMs = Math.max(2_000, size.hostsPerZone * VISIT_INTERVAL_PER_HOST_MS)
   const rates = [...plan.map((neighbour) => 1_000 / neighbour.intervalMs), ...Array.from({ length: Math.ceil(visitors / 2) }, () => 1_000 / visitIntervalMs)]
   const heartbeatBytes = encodeMessage(self, 0)
   const refreshBytes = encodeMessage(self, 1 + computeRefreshLength(plan.length)) - heartbeatBytes
-  const exchangesASecond = sumUp(rates)
-  const refreshes = sumUp(rates.map((rate) => Math.min(rate, 1_000 / computeRefreshMs(plan.length))))
-  const bytesASecond = exchangesASecond * (2 * heartbeatBytes + FRAMING_BYTES) + refreshes * 2 * refreshBytes
-  return { neighbours: plan.length, exchangesASecond, heartbeatBytes, refreshBytes, bytesASecond: Math.round(bytesASecond) }
+  const exchangesPerSecond = computeSum(rates)
+  const refreshes = computeSum(rates.map((rate) => Math.min(rate, 1_000 / computeRefreshMs(plan.length))))
+  const bytesPerSecond = exchangesPerSecond * (2 * heartbeatBytes + FRAMING_BYTES) + refreshes * 2 * refreshBytes
+  return { neighbours: plan.length, exchangesPerSecond: exchangesPerSecond, heartbeatBytes, refreshBytes, bytesPerSecond: Math.round(bytesPerSecond) }
 }
 
 function encodeMessage (self: Summary, summaries: number): number {
@@ -62,8 +62,8 @@
   const loads = Array.from({ length: size.services }, (_, index) => ({ service: `service${index}`, freeSlots: 20, running: 76 }))
   const hosts: Summary[] = []
   for (let region = 0; region < size.regions; region++) {
-    for (let zone = 0; zone < size.zonesARegion; zone++) {
-      for (let host = 0; host < size.hostsAZone; host++) hosts.push(makeHost(`r${10 + region}`, `r${10 + region}-z${10 + zone}`, host, loads))
+    for (let zone = 0; zone < size.zonesPerRegion; zone++) {
+      for (let host = 0; host < size.hostsPerZone; host++) hosts.push(makeHost(`r${10 + region}`, `r${10 + region}-z${10 + zone}`, host, loads))
     }
   }
   return hosts
@@ -87,4 +87,4 @@
   }
 }
 
-const sumUp = (values: readonly number[]): number => values.reduce((sum, value) => sum + value, 0)
+const computeSum = (values: readonly number[]): number => values.reduce((sum, value) => sum + value, 0)
--- a/packages/almondrelay/src/connection/exchange/peerProgress.ts
+++ b/packages/almondrelay/src/connection/exchange/peerProgress.ts
@@ -17,7 +17,7 @@
   /** The same for updates of leaving targets. */
   offeredTargets: number
   /** Time of the last message from the peer, whether request or answer. */
-  contactAt: number
+  lastContactAt: number
   /** Time at which the last refresh was included in a message to the peer. */
   refreshedAt: number
   /** Selects the hosts whose summaries are sent in refreshes. */
@@ -27,7 +27,7 @@
   /** Revision in the last message from the peer. */
   revision: number
   /** Revision in the last message sent to the peer; a message in a failed exchange does not count. */
-  toldRevision: number
+  sentRevision: number
   /** Time before which no changes are fetched from the peer, because its last fetch failed or did not prove the stated revision. */
-  distrustedUntil: number
+  repairBlockedUntil: number
 }
--- a/packages/almondrelay/src/connection/exchange/refreshRotation.ts
+++ b/packages/almondrelay/src/connection/exchange/refreshRotation.ts
@@ -1,7 +1,7 @@
 import type { Membership } from '../../process/membership/membership.js'
 
 /** Minimum number of hosts of other zones in one round; in a small fleet these are all of them. */
-const FEWEST_OTHERS = 20
+const MIN_OTHER_ZONE_HOSTS = 20
 
 /**
  * Selects in rotation the hosts whose summaries are sent to one peer. A round contains each host of the own zone once and
@@ -10,7 +10,7 @@
  */
 export class RefreshRotation {
   private round: string[] = []
-  private others: string[] = []
+  private otherZoneHosts: string[] = []
 
   constructor (private readonly membership: Membership, private readonly ownZone: string) {}
 
@@ -29,9 +29,9 @@
 
   private fillRound (peer: string): void {
     const hosts = this.membership.listHosts().filter((each) => each.host !== peer)
-    const own = hosts.filter((each) => each.availabilityZone === this.ownZone).map((each) => each.host)
-    if (this.others.length === 0) this.others = hosts.filter((each) => each.availabilityZone !== this.ownZone).map((each) => each.host)
-    const others = this.others.splice(-Math.max(FEWEST_OTHERS, own.length))
-    this.round = [...own, ...others]
+    const ownZoneHosts = hosts.filter((each) => each.availabilityZone === this.ownZone).map((each) => each.host)
+    if (this.otherZoneHosts.length === 0) this.otherZoneHosts = hosts.filter((each) => each.availabilityZone !== this.ownZone).map((each) => each.host)
+    const nextOtherHosts = this.otherZoneHosts.splice(-Math.max(MIN_OTHER_ZONE_HOSTS, ownZoneHosts.length))
+    this.round = [...ownZoneHosts, ...nextOtherHosts]
   }
 }
--- a/packages/almondrelay/src/connection/exchange/repairFromPeer.ts
+++ b/packages/almondrelay/src/connection/exchange/repairFromPeer.ts
@@ -9,7 +9,7 @@
 import { ErrorKind } from '../../process/errors/errorKind.js'
 import type { ExchangeHub } from './exchangeHub.js'
 
-const CHANGES_A_CALL = 64
+const MAX_CHANGES_PER_CALL = 64
 const FETCH_TIMEOUT_MS = 5_000
 
 const SnapshotSchema = z.object({
@@ -27,12 +27,12 @@
 export async function repairFromPeer (client: Client<typeof PeerService>, hub: ExchangeHub, signal: AbortSignal): Promise<void> {
   const { store } = hub.options
   for (;;) {
-    const before = store.current.revision
-    const request = { sender: hub.makeSender(), afterRevision: BigInt(before), maxChanges: CHANGES_A_CALL }
+    const ownRevision = store.current.revision
+    const request = { sender: hub.makeSender(), afterRevision: BigInt(ownRevision), maxChanges: MAX_CHANGES_PER_CALL }
     const response = await client.fetchChanges(request, { signal, timeoutMs: FETCH_TIMEOUT_MS })
     adoptResponse(response, store)
     if (BigInt(store.current.revision) >= response.latestRevision) return
-    if (store.current.revision === before) throw makeUnshown(response.latestRevision, before)
+    if (store.current.revision === ownRevision) throw makeUnprovenError(response.latestRevision, ownRevision)
   }
 }
 
@@ -42,21 +42,21 @@
     // The store may have adopted changes from the platform or another peer in the meantime.
     if (revision !== BigInt(store.current.revision + 1)) continue
     const change = decodeChange(body, Number(revision))
-    if (change.writeId !== writeId) throw makeUnshown(revision, store.current.revision)
+    if (change.writeId !== writeId) throw makeUnprovenError(revision, store.current.revision)
     store.adoptChange(change, body)
   }
 }
 
 function decodeSnapshot (response: FetchChangesResponse): ConfigurationSnapshot {
   const snapshot = SnapshotSchema.parse(JSON.parse(response.snapshot)) as ConfigurationSnapshot
-  if (BigInt(snapshot.revision) !== response.snapshotRevision) throw makeUnshown(response.snapshotRevision, snapshot.revision)
+  if (BigInt(snapshot.revision) !== response.snapshotRevision) throw makeUnprovenError(response.snapshotRevision, snapshot.revision)
   return snapshot
 }
 
-function makeUnshown (claimed: bigint, shown: number): AlmondrelayError {
+function makeUnprovenError (stated: bigint, proven: number): AlmondrelayError {
   return new AlmondrelayError({
     kind: ErrorKind.peerRefused,
-    message: `a peer states revision ${claimed} but proves no revision after ${shown}`,
+    message: `a peer states revision ${stated} but proves no revision after ${proven}`,
     remedy: 'check the log of that host; no unproven change was adopted'
   })
 }
--- a/packages/almondrelay/src/connection/exchange/runExchanges.ts
+++ b/packages/almondrelay/src/connection/exchange/runExchanges.ts
@@ -6,7 +6,7 @@
  * Interval at which neighbours are planned again if nothing has changed, so that other hosts from which no reports
  * arrive, or never did, are tried. A plan considers every known host, which takes 3 ms for 4,800 hosts.
  */
-const REPLAN_MS = 2_000
+const REPLAN_INTERVAL_MS = 2_000
 
 interface RunningExchange {
   neighbour: Neighbour
@@ -20,19 +20,19 @@
   const running = new Map<string, RunningExchange>()
   let plan: readonly Neighbour[] = []
   let plannedAt = -Infinity
-  let plannedNews = -1
+  let plannedUpdate = -1
   while (!signal.aborted) {
     const now = clock.getNow()
     membership.advance(now)
     leavingTargets.expire(now)
     hub.prunePeers(now)
     // Temporary neighbours come first: where a host is also a planned neighbour, the later entry with the planned interval applies.
-    if (membership.news.latest !== plannedNews || now - plannedAt >= REPLAN_MS) {
+    if (membership.news.latest !== plannedUpdate || now - plannedAt >= REPLAN_INTERVAL_MS) {
       plan = membership.planNeighbours(now)
       plannedAt = now
-      plannedNews = membership.news.latest
+      plannedUpdate = membership.news.latest
     }
-    applyPlan([...hub.listVisitors(now), ...plan], running, hub)
+    applyPlan([...hub.listTemporaryNeighbours(now), ...plan], running, hub)
     hub.setPeerCount(running.size)
     await clock.sleep(heartbeatMs, signal)
   }
--- a/packages/almondrelay/src/connection/limits/__fixtures__/fakeLimitPeers.ts
+++ b/packages/almondrelay/src/connection/limits/__fixtures__/fakeLimitPeers.ts
@@ -9,7 +9,7 @@
 
 /** Calls the slots of the other hosts directly. Hosts in `disconnected` neither send nor answer calls. */
 export class FakeLimitPeers extends LimitPeers {
-  constructor (private readonly self: RosterHost, private readonly hosts: Map<string, HostSlots>, private readonly cut: Set<string>, private readonly clock: Clock) {
+  constructor (private readonly self: RosterHost, private readonly hosts: Map<string, HostSlots>, private readonly disconnected: Set<string>, private readonly clock: Clock) {
     super()
   }
 
@@ -22,6 +22,6 @@
   }
 
   private find (host: string): HostSlots | undefined {
-    return this.cut.has(this.self.name) || this.cut.has(host) ? undefined : this.hosts.get(host)
+    return this.disconnected.has(this.self.name) || this.disconnected.has(host) ? undefined : this.hosts.get(host)
   }
 }
--- a/packages/almondrelay/src/connection/limits/__fixtures__/limitsZone.ts
+++ b/packages/almondrelay/src/connection/limits/__fixtures__/limitsZone.ts
@@ -3,7 +3,7 @@
 import { FakeClock } from '../../../process/platform/__fixtures__/fakeClock.js'
 import { FakePlatform } from '../../../process/platform/__fixtures__/fakePlatform.js'
 import { createSeededRandom } from '../../../request/createSeededRandom.js'
-import { RosterKeeper } from '../rosterKeeper.js'
+import { RosterTask } from '../rosterTask.js'
 import { SlotLeaseTask } from '../slotLeaseTask.js'
 import { FakeLimitPeers } from './fakeLimitPeers.js'
 
@@ -13,7 +13,7 @@
 
 interface ZoneHost {
   slots: HostSlots
-  keeper: RosterKeeper
+  rosterTask: RosterTask
   stop: AbortController
 }
 
@@ -22,7 +22,7 @@
   readonly clock = new FakeClock()
   readonly platform = new FakePlatform(this.clock)
   readonly hosts = new Map<string, ZoneHost>()
-  readonly cut = new Set<string>()
+  readonly disconnected = new Set<string>()
   private readonly slots = new Map<string, HostSlots>()
 
   constructor (readonly maxDeadlineMs: number) {}
@@ -31,7 +31,7 @@
     const self = { name, incarnation }
     const slots = new HostSlots({ host: name, incarnation, availabilityZone: ZONE })
     slots.adoptTargets(SERVICE, TARGETS, this.maxDeadlineMs, this.clock.getNow())
-    const keeper = new RosterKeeper({
+    const rosterTask = new RosterTask({
       platform: this.platform,
       slots,
       self,
@@ -41,11 +41,11 @@
       random: createSeededRandom(incarnation + name.length),
       log: bunyan.createLogger({ name: 'test', level: bunyan.FATAL + 1 })
     })
-    const host = { slots, keeper, stop: new AbortController() }
+    const host = { slots, rosterTask: rosterTask, stop: new AbortController() }
     this.hosts.set(name, host)
     this.slots.set(name, slots)
-    const peers = new FakeLimitPeers(self, this.slots, this.cut, this.clock)
-    keeper.run(host.stop.signal).catch(() => undefined)
+    const peers = new FakeLimitPeers(self, this.slots, this.disconnected, this.clock)
+    rosterTask.run(host.stop.signal).catch(() => undefined)
     new SlotLeaseTask({ slots, peers, clock: this.clock }).run(host.stop.signal).catch(() => undefined)
     return host
   }
@@ -57,13 +57,13 @@
   }
 
   /** Returns the number of slots that a host has free over all targets. */
-  countFree (name: string): number {
+  countFreeSlots (name: string): number {
     const free = this.hosts.get(name)!.slots.getFree(SERVICE, this.clock.getNow())
     return [...free.values()].reduce((sum, count) => sum + count, 0)
   }
 
-  countAllFree (): number {
-    return [...this.hosts.keys()].reduce((sum, name) => sum + this.countFree(name), 0)
+  countAllFreeSlots (): number {
+    return [...this.hosts.keys()].reduce((sum, name) => sum + this.countFreeSlots(name), 0)
   }
 
   async readRoster (): Promise<string[]> {
--- a/packages/almondrelay/src/connection/limits/__fixtures__/loanRegion.ts
+++ b/packages/almondrelay/src/connection/limits/__fixtures__/loanRegion.ts
@@ -11,7 +11,7 @@
 import { createSeededRandom } from '../../../request/createSeededRandom.js'
 import { Configuration } from '../../../version/configuration.js'
 import { handleLoan } from '../handleLoan.js'
-import { LenderKeeper } from '../lenderKeeper.js'
+import { LenderElection } from '../lenderElection.js'
 import type { LenderKind } from '../lenderKind.js'
 import { LoanPeers } from '../loanPeers.js'
 import { LoanTask } from '../loanTask.js'
@@ -24,7 +24,7 @@
 interface RegionHost {
   limits: RegionLimits
   lender: RegionLender
-  keeper: LenderKeeper
+  lenderElection: LenderElection
   stop: AbortController
 }
 
@@ -55,7 +55,7 @@
   }
 
   /** Returns how many requests a host may run at once; one more than that is attempted, so that the host sees the demand. */
-  countUsable (name: string): number {
+  countAdmitted (name: string): number {
     const { limits } = this.hosts.get(name)!
     const now = this.clock.getNow()
     let count = 0
@@ -67,7 +67,7 @@
   /** Advances the clock while every host requests as much capacity as it can get. */
   async advance (ms: number): Promise<void> {
     for (let passed = 0; passed < ms; passed += 100) {
-      [...this.hosts.keys()].forEach((name) => this.countUsable(name))
+      [...this.hosts.keys()].forEach((name) => this.countAdmitted(name))
       await this.clock.advance(100)
     }
   }
@@ -83,7 +83,7 @@
     const lender = new RegionLender(self)
     lender.adoptLimits(listLimits(configuration, REGION), ZONES.length, MAX_DEADLINE_MS)
     const { clock, platform } = this
-    const keeper = new LenderKeeper({
+    const lenderElection = new LenderElection({
       platform,
       lender,
       self,
@@ -95,9 +95,9 @@
       log: bunyan.createLogger({ name: 'test', level: bunyan.FATAL + 1 })
     })
     const stop = new AbortController()
-    this.hosts.set(name, { limits, lender, keeper, stop })
-    keeper.run(stop.signal).catch(() => undefined)
-    const task = new LoanTask({ limits, peers: new FakeLoanPeers(self, this), clock, findRegionLender: () => keeper.find() })
+    this.hosts.set(name, { limits, lender, lenderElection: lenderElection, stop })
+    lenderElection.run(stop.signal).catch(() => undefined)
+    const task = new LoanTask({ limits, peers: new FakeLoanPeers(self, this), clock, findRegionLender: () => lenderElection.find() })
     task.run(stop.signal).catch(() => undefined)
   }
 }
--- a/packages/almondrelay/src/connection/limits/lenderKeeper.ts
+++ b/packages/almondrelay/src/connection/limits/lenderElection.ts
@@ -7,7 +7,7 @@
 import type { Random } from '../../request/random.js'
 import { parseLender } from './parseLender.js'
 
-interface LenderKeeperParts {
+interface LenderElectionParts {
   platform: Platform
   lender: RegionLender
   self: RosterHost
@@ -22,13 +22,13 @@
 }
 
 /** Term of the platform lease. 21 regions together renew 7 times a second, which is under 2% of the platform's write capacity. */
-const TTL_MS = 9_000
-const ROUND_MS = 3_000
+const LEASE_TTL_MS = 9_000
+const ROUND_INTERVAL_MS = 3_000
 /**
  * Age at which a host that borrows but doesn't lend reads the name of the lender again. 80 zones of 41 such hosts make
  * 110 reads a second, which is 5% of the platform's read capacity.
  */
-const REREAD_MS = 30_000
+const REREAD_INTERVAL_MS = 30_000
 
 /**
  * Elects one of the region's watchers as lender: the platform's key `lenders/<region>` names the lender and is held under a
@@ -36,18 +36,18 @@
  * runs from the time at which the grant or renewal of the lease was sent and is shorter than the platform's term by the clock
  * drift, so that it expires before another host can take the key.
  */
-export class LenderKeeper {
-  private current: string | undefined
+export class LenderElection {
+  private lenderName: string | undefined
   private leaseId: string | undefined
   private readAt = -Infinity
-  private isAsked = false
+  private isReadRequested = false
 
-  constructor (private readonly parts: LenderKeeperParts) {}
+  constructor (private readonly parts: LenderElectionParts) {}
 
   /** Returns the last known name of the region's lender. A call makes a host that isn't a watcher read the key again. */
   find (): string | undefined {
-    this.isAsked = true
-    return this.current
+    this.isReadRequested = true
+    return this.lenderName
   }
 
   /** Runs until the signal aborts. */
@@ -56,10 +56,10 @@
     let failures = 0
     while (!signal.aborted) {
       try {
-        if (isWatcher()) await this.keep(signal)
-        else if (this.isAsked && clock.getNow() >= this.readAt + REREAD_MS) await this.read(signal)
+        if (isWatcher()) await this.update(signal)
+        else if (this.isReadRequested && clock.getNow() >= this.readAt + REREAD_INTERVAL_MS) await this.read(signal)
         failures = 0
-        await clock.sleep(ROUND_MS * (0.75 + random() / 2), signal)
+        await clock.sleep(ROUND_INTERVAL_MS * (0.75 + random() / 2), signal)
       } catch (error) {
         if (signal.aborted) return
         log.warn({ err: error, failures, region: this.parts.region }, 'region lender update failed')
@@ -69,7 +69,7 @@
     }
   }
 
-  private async keep (signal: AbortSignal): Promise<void> {
+  private async update (signal: AbortSignal): Promise<void> {
     const { platform, self, clock } = this.parts
     const { holder, version } = await this.read(signal)
     if (holder === undefined) {
@@ -93,7 +93,7 @@
     const { platform, lender } = this.parts
     lender.dropAuthority()
     this.leaseId = undefined
-    this.current = undefined
+    this.lenderName = undefined
     await platform.delete(this.key, version, signal)
   }
 
@@ -101,23 +101,23 @@
     const { platform, clock } = this.parts
     const entry = await platform.get(this.key, signal)
     const holder = entry === undefined ? undefined : parseLender(entry.value)
-    this.current = holder?.name
+    this.lenderName = holder?.name
     this.readAt = clock.getNow()
-    this.isAsked = false
+    this.isReadRequested = false
     return { holder, version: entry?.version ?? 0 }
   }
 
   private async take (version: number, signal: AbortSignal): Promise<void> {
     const { platform, self, clock, log, region } = this.parts
     const sentAt = clock.getNow()
-    this.leaseId = await platform.grantLease(TTL_MS, signal)
+    this.leaseId = await platform.grantLease(LEASE_TTL_MS, signal)
     const { stored } = await platform.put(this.key, JSON.stringify(self), version, signal, this.leaseId)
     if (!stored) {
       await platform.releaseLease(this.leaseId, signal)
       return
     }
-    this.current = self.name
-    this.acceptAuthority(sentAt, await this.markLent(signal))
+    this.lenderName = self.name
+    this.acceptAuthority(sentAt, await this.recordFirstLender(signal))
     log.info({ region, lender: self }, 'became region lender')
   }
 
@@ -126,7 +126,7 @@
    * The key `lent/<region>` is bound to no lease and is written before the first loan. If the answer to the write is lost, the
    * next try returns false, which only costs that wait.
    */
-  private async markLent (signal: AbortSignal): Promise<boolean> {
+  private async recordFirstLender (signal: AbortSignal): Promise<boolean> {
     const { platform, self, region } = this.parts
     const { stored } = await platform.put(`lent/${region}`, JSON.stringify(self), 0, signal)
     return stored
@@ -135,7 +135,7 @@
   /** The authority runs from the grant or renewal of the lease that holds the key, so it is valid even if the write of the key was slow. */
   private acceptAuthority (sentAt: number, isFirst: boolean): void {
     const { lender, clock, drift } = this.parts
-    lender.acceptAuthority(sentAt, TTL_MS * (1 - drift), isFirst, clock.getNow())
+    lender.acceptAuthority(sentAt, LEASE_TTL_MS * (1 - drift), isFirst, clock.getNow())
   }
 
   private get key (): string {
--- a/packages/almondrelay/src/connection/limits/loanTask.ts
+++ b/packages/almondrelay/src/connection/limits/loanTask.ts
@@ -13,9 +13,9 @@
 }
 
 /** Short compared with the 3 s term of a host's loan, so that due renewals are sent in time. A round with nothing due makes no call. */
-const ROUND_MS = 250
+const MAX_ROUND_INTERVAL_MS = 250
 /** Minimum time between two rounds, however many requests are waiting. */
-const SHORTEST_ROUND_MS = 25
+const MIN_ROUND_INTERVAL_MS = 25
 
 /** Borrows and returns capacity of the region's limits. RegionLimits plans at most one pending loan request for each limit. */
 export class LoanTask {
@@ -33,17 +33,17 @@
     const { limits, clock } = this.parts
     while (!signal.aborted) {
       for (const planned of limits.planLoans(clock.getNow())) this.borrow(planned, signal).catch(() => undefined)
-      await clock.sleep(SHORTEST_ROUND_MS, signal)
-      await this.waitForRound(signal)
+      await clock.sleep(MIN_ROUND_INTERVAL_MS, signal)
+      await this.waitForNextRound(signal)
     }
   }
 
-  private async waitForRound (signal: AbortSignal): Promise<void> {
-    const round = new AbortController()
-    const finish = (): void => { round.abort() }
+  private async waitForNextRound (signal: AbortSignal): Promise<void> {
+    const controller = new AbortController()
+    const finish = (): void => { controller.abort() }
     this.wakeUp = finish
     signal.addEventListener('abort', finish)
-    await this.parts.clock.sleep(ROUND_MS - SHORTEST_ROUND_MS, round.signal)
+    await this.parts.clock.sleep(MAX_ROUND_INTERVAL_MS - MIN_ROUND_INTERVAL_MS, controller.signal)
     signal.removeEventListener('abort', finish)
     this.wakeUp = undefined
   }
--- a/packages/almondrelay/src/connection/limits/linkedLimitPeers.ts
+++ b/packages/almondrelay/src/connection/limits/remoteLimitPeers.ts
@@ -15,7 +15,7 @@
 import { toPartClaimAnswer } from './toPartClaimAnswer.js'
 import type { PeerSender } from '../../process/dispatch/peerSender.js'
 
-interface LinkedPeersParts {
+interface RemoteLimitPeersParts {
   links: PeerLinks
   directory: HostDirectory
   sender: PeerSender
@@ -27,8 +27,8 @@
 const CALL_TIMEOUT_MS = 1_000
 
 /** Sends calls about limits over the connections to peers. */
-export class LinkedLimitPeers extends LimitPeers implements LoanPeers {
-  constructor (private readonly parts: LinkedPeersParts) {
+export class RemoteLimitPeers extends LimitPeers implements LoanPeers {
+  constructor (private readonly parts: RemoteLimitPeersParts) {
     super()
   }
 
--- a/packages/almondrelay/src/connection/limits/rosterKeeper.ts
+++ b/packages/almondrelay/src/connection/limits/rosterTask.ts
@@ -11,7 +11,7 @@
 import type { Random } from '../../request/random.js'
 import { parseRoster } from './parseRoster.js'
 
-interface RosterKeeperParts {
+interface RosterTaskParts {
   platform: Platform
   slots: HostSlots
   self: RosterHost
@@ -24,45 +24,45 @@
 }
 
 /** Interval at which a host checks whether an update of the roster is due, or whether it has become a watcher. */
-const IDLE_MS = 250
-const WATCH_MS = 5_000
+const CHECK_INTERVAL_MS = 250
+const WATCH_TIMEOUT_MS = 5_000
 /** Maximum age of the roster that a host has read. 4,800 hosts make 80 reads a second, which is 4% of the platform's read capacity. */
-const REREAD_MS = 60_000
+const MAX_ROSTER_AGE_MS = 60_000
 /** Random delay before an update: hosts with the same reason to write are spread over it, so that most find the roster already written. */
-const SPREAD_MS = 200
+const MAX_WRITE_DELAY_MS = 200
 
 /**
  * Maintains the zone's roster on the platform. The roster is written when a host joins and when there is definitive
  * evidence that a host is gone, but never because of missing reports alone. A host that isn't joining and whose peers have
  * no later version makes almost no calls. If the answer to a write is lost, the next read shows that the write took effect.
  */
-export class RosterKeeper {
-  private joins = true
+export class RosterTask {
+  private isJoining = true
   private readAt = -Infinity
   private sequence = -1
 
-  constructor (private readonly parts: RosterKeeperParts) {}
+  constructor (private readonly parts: RosterTaskParts) {}
 
   /** Runs until the signal aborts. */
   async run (signal: AbortSignal): Promise<void> {
-    await Promise.all([this.keep(signal), this.follow(signal)])
+    await Promise.all([this.updateWhenDue(signal), this.runWatch(signal)])
   }
 
   /** Removes this host from the roster; call it after the last request of the host has ended. Rejects if the platform does not answer. */
   async removeSelf (signal: AbortSignal): Promise<void> {
-    this.joins = false
-    while (!signal.aborted && await this.update(signal)) await this.parts.clock.sleep(SPREAD_MS * this.parts.random(), signal)
+    this.isJoining = false
+    while (!signal.aborted && await this.update(signal)) await this.parts.clock.sleep(MAX_WRITE_DELAY_MS * this.parts.random(), signal)
   }
 
-  private async keep (signal: AbortSignal): Promise<void> {
+  private async updateWhenDue (signal: AbortSignal): Promise<void> {
     const { clock, random, log } = this.parts
     let failures = 0
     while (!signal.aborted) {
-      if (!this.hasReason()) {
-        await clock.sleep(IDLE_MS, signal)
+      if (!this.isUpdateDue()) {
+        await clock.sleep(CHECK_INTERVAL_MS, signal)
         continue
       }
-      await clock.sleep(SPREAD_MS * random(), signal)
+      await clock.sleep(MAX_WRITE_DELAY_MS * random(), signal)
       try {
         await this.update(signal)
         failures = 0
@@ -75,12 +75,12 @@
     }
   }
 
-  private async follow (signal: AbortSignal): Promise<void> {
+  private async runWatch (signal: AbortSignal): Promise<void> {
     const { clock, random, isWatcher, log } = this.parts
     let failures = 0
     while (!signal.aborted) {
       if (!isWatcher()) {
-        await clock.sleep(IDLE_MS, signal)
+        await clock.sleep(CHECK_INTERVAL_MS, signal)
         continue
       }
       try {
@@ -96,15 +96,15 @@
   }
 
   private async watch (signal: AbortSignal): Promise<void> {
-    const result = await this.parts.platform.watch(this.key, this.sequence, this.sequence < 0 ? 0 : WATCH_MS, signal)
+    const result = await this.parts.platform.watch(this.key, this.sequence, this.sequence < 0 ? 0 : WATCH_TIMEOUT_MS, signal)
     if (this.sequence < 0 || result.events.length > 0) this.readAt = -Infinity
     this.sequence = result.sequence
   }
 
-  private hasReason (): boolean {
+  private isUpdateDue (): boolean {
     const { slots: { claims }, clock } = this.parts
-    const isStale = clock.getNow() >= this.readAt + REREAD_MS
-    return (this.joins && !claims.isMember) || claims.isBehind || claims.gone.length > 0 || isStale
+    const isStale = clock.getNow() >= this.readAt + MAX_ROSTER_AGE_MS
+    return (this.isJoining && !claims.isMember) || claims.isBehind || claims.gone.length > 0 || isStale
   }
 
   /** Reads and adopts the roster and writes a new version if one is due. Returns true if it wrote, or if another host wrote first. */
@@ -114,7 +114,7 @@
     const roster = entry === undefined ? undefined : this.requireRoster(entry.value)
     this.readAt = clock.getNow()
     if (roster !== undefined) slots.adoptRoster(roster, this.readAt)
-    const next = decideRoster({ roster, availabilityZone, self, joins: this.joins, gone: slots.claims.gone })
+    const next = decideRoster({ roster, availabilityZone, self, joins: this.isJoining, gone: slots.claims.gone })
     if (next === undefined) return false
     const result = await platform.put(this.key, JSON.stringify(next), entry?.version ?? 0, signal)
     if (result.stored) {
--- a/packages/almondrelay/src/connection/limits/slotLeaseTask.ts
+++ b/packages/almondrelay/src/connection/limits/slotLeaseTask.ts
@@ -11,7 +11,7 @@
 }
 
 /** Twelve rounds in a lease's term, so that due renewals are sent early enough. A round with nothing due makes no call. */
-const ROUND_MS = 250
+const ROUND_INTERVAL_MS = 250
 
 /**
  * Renews this host's slot leases and claims the parts that are assigned to it. At most one call of each kind is pending at
@@ -29,7 +29,7 @@
       const now = clock.getNow()
       for (const request of slots.planRenewals(now)) this.start(`lease/${request.standby}`, () => this.renew(request, signal))
       for (const { host, claim } of slots.claims.planClaims(now)) this.start(`claim/${host}/${claim.ready}`, () => this.claim(host, claim, signal))
-      await clock.sleep(ROUND_MS, signal)
+      await clock.sleep(ROUND_INTERVAL_MS, signal)
     }
   }
 
--- a/packages/almondrelay/src/connection/listenForHttp.ts
+++ b/packages/almondrelay/src/connection/listenForHttp.ts
@@ -6,8 +6,8 @@
 /** Time in which a caller must send its whole request; an incomplete request is then aborted. */
 const REQUEST_TIMEOUT_MS = 15_000
 const HEADERS_TIMEOUT_MS = 5_000
-const TIMEOUT_CHECK_MS = 1_000
-const KEEP_ALIVE_MS = 20_000
+const TIMEOUT_CHECK_INTERVAL_MS = 1_000
+const KEEP_ALIVE_TIMEOUT_MS = 20_000
 
 /** Serves an HTTP/1.1 port. The code that calls this function closes the returned server. */
 export async function listenForHttp (address: string, app: Hono): Promise<Server> {
@@ -15,8 +15,8 @@
   const server = createServer({
     requestTimeout: REQUEST_TIMEOUT_MS,
     headersTimeout: HEADERS_TIMEOUT_MS,
-    connectionsCheckingInterval: TIMEOUT_CHECK_MS,
-    keepAliveTimeout: KEEP_ALIVE_MS
+    connectionsCheckingInterval: TIMEOUT_CHECK_INTERVAL_MS,
+    keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS
   }, (request, response) => { void listener(request, response) })
   await openServer(server, address)
   return server
--- a/packages/almondrelay/src/connection/operator/addResourceRoutes.ts
+++ b/packages/almondrelay/src/connection/operator/addResourceRoutes.ts
@@ -8,7 +8,7 @@
 import { parseWrite } from './parseWrite.js'
 import { sendWriteOutcome } from './sendWriteOutcome.js'
 
-const KINDS: readonly string[] = Object.values(ResourceKind)
+const RESOURCE_KINDS: readonly string[] = Object.values(ResourceKind)
 
 /** Adds the routes that get, list, put and delete resources. */
 export function addResourceRoutes (app: Hono, options: OperatorAppOptions, signal: AbortSignal): void {
@@ -55,10 +55,10 @@
 
 function findKind (context: Context): ResourceKind | undefined {
   const kind = context.req.param('kind') ?? ''
-  return KINDS.includes(kind) ? kind as ResourceKind : undefined
+  return RESOURCE_KINDS.includes(kind) ? kind as ResourceKind : undefined
 }
 
 function refuseKind (context: Context): Response {
-  const problem = { path: 'kind', found: (context.req.param('kind') ?? '').slice(0, 80), remedy: `use one of ${KINDS.join(', ')}` }
+  const problem = { path: 'kind', found: (context.req.param('kind') ?? '').slice(0, 80), remedy: `use one of ${RESOURCE_KINDS.join(', ')}` }
   return context.json({ outcome: 'rejected', problems: [problem] }, 404)
 }
--- a/packages/almondrelay/src/connection/operator/parseWrite.ts
+++ b/packages/almondrelay/src/connection/operator/parseWrite.ts
@@ -9,23 +9,23 @@
 import { parseCondition } from './parseCondition.js'
 
 const UUID = /^[0-9a-f]{8}(-[0-9a-f]{4}){3}-[0-9a-f]{12}$/i
-const MAX_AUTHOR = 200
+const MAX_AUTHOR_LENGTH = 200
 
-type Parsed = { write: Write } | { problems: ResourceProblem[] }
+type ParsedWrite = { write: Write } | { problems: ResourceProblem[] }
 
 /** Parses the write of a PUT or DELETE request; returns all problems found in the request if it is invalid. */
-export async function parseWrite (context: Context, kind: ResourceKind, makeWriteId: () => string): Promise<Parsed> {
+export async function parseWrite (context: Context, kind: ResourceKind, makeWriteId: () => string): Promise<ParsedWrite> {
   const name = context.req.param('name') ?? ''
   const writeId = context.req.header('almondrelay-write-id') ?? makeWriteId()
-  const author = (context.req.header('almondrelay-author') ?? 'unknown').slice(0, MAX_AUTHOR)
+  const author = (context.req.header('almondrelay-author') ?? 'unknown').slice(0, MAX_AUTHOR_LENGTH)
   const condition = parseCondition(context.req.header('if-match'), context.req.header('if-none-match'))
   const problems = [...checkName(name), ...checkWriteId(writeId), ...('problem' in condition ? [condition.problem] : [])]
   if (problems.length > 0 || 'problem' in condition) return { problems }
-  const common = { writeId, author, ...condition }
-  if (context.req.method === 'DELETE') return { write: { ...common, action: 'delete', kind, name } }
+  const commonFields = { writeId, author, ...condition }
+  if (context.req.method === 'DELETE') return { write: { ...commonFields, action: 'delete', kind, name } }
   const spec = parseSpec(kind, await context.req.text())
   if ('problems' in spec) return spec
-  return { write: { ...common, action: 'put', resource: { kind, name, revision: 0, spec: spec.value } as Resource } }
+  return { write: { ...commonFields, action: 'put', resource: { kind, name, revision: 0, spec: spec.value } as Resource } }
 }
 
 function parseSpec (kind: ResourceKind, text: string): { value: unknown } | { problems: ResourceProblem[] } {
--- a/packages/almondrelay/src/connection/peer/__tests__/guardedSessionManager.test.ts
+++ b/packages/almondrelay/src/connection/peer/__tests__/guardedSessionManager.test.ts
@@ -17,8 +17,8 @@
 test('a session that is destroyed and closed in one turn does not end the process', async () => {
   const { server, url } = await startServer()
   const errors: unknown[] = []
-  const take = (error: unknown): void => { errors.push(error) }
-  process.on('uncaughtException', take)
+  const collectError = (error: unknown): void => { errors.push(error) }
+  process.on('uncaughtException', collectError)
   const sessions = new GuardedSessionManager(url, {})
   const stream = await sessions.request('GET', '/', {}, {})
   stream.on('error', () => undefined)
@@ -26,7 +26,7 @@
   session?.destroy(new ConnectError('PING timed out', Code.Unavailable))
   sessions.abort()
   await new Promise((resolve) => { setTimeout(resolve, 50) })
-  process.off('uncaughtException', take)
+  process.off('uncaughtException', collectError)
   server.close()
   assert.equal(errors, [])
 })
--- a/packages/almondrelay/src/connection/peer/guardedSessionManager.ts
+++ b/packages/almondrelay/src/connection/peer/guardedSessionManager.ts
@@ -10,13 +10,13 @@
  * garbage-collected. Open calls on the session fail through their own streams.
  */
 export class GuardedSessionManager extends Http2SessionManager {
-  private readonly guarded = new WeakSet<ClientHttp2Session>()
+  private readonly observedSessions = new WeakSet<ClientHttp2Session>()
 
   override async request (method: string, path: string, headers: OutgoingHttpHeaders, options: Omit<ClientSessionRequestOptions, 'signal'>): Promise<ClientHttp2Stream> {
     const stream = await super.request(method, path, headers, options)
     const session = stream.session as ClientHttp2Session | undefined
-    if (session !== undefined && !this.guarded.has(session)) {
-      this.guarded.add(session)
+    if (session !== undefined && !this.observedSessions.has(session)) {
+      this.observedSessions.add(session)
       session.on('error', ignoreError)
     }
     return stream
--- a/packages/almondrelay/src/connection/target/targetConnections.ts
+++ b/packages/almondrelay/src/connection/target/targetConnections.ts
@@ -9,22 +9,22 @@
 interface IdleConnection {
   client: Client
   /** Monotonic time in milliseconds at which the target last sent bytes. */
-  activeAt: number
+  lastActiveAt: number
 }
 
 /** Several times the round-trip time between the most distant regions (110 ms). */
 const CONNECT_TIMEOUT_MS = 1_000
 /** An idle connection is reused only this long after its last bytes; an older one may have failed without notice. */
-const FRESH_MS = 1_000
-const MAX_IDLE_MS = 20_000
-const MAX_IDLE_CONNECTIONS = 64
+const MAX_REUSE_IDLE_MS = 1_000
+const KEEP_ALIVE_TIMEOUT_MS = 20_000
+const MAX_IDLE_CONNECTIONS_PER_TARGET = 64
 const NOT_RUN_STATUS = 503
 
 const CONNECT_ERROR_CODES: ReadonlySet<string> = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'EADDRNOTAVAIL', 'UND_ERR_CONNECT_TIMEOUT'])
 /** Message of the error with which undici closes a connection that received bytes for which no request is pending. */
-const EXCESS_MESSAGE = 'bad response'
+const EXCESS_BYTES_ERROR = 'bad response'
 /** Turns of the event loop within which undici reports bytes that arrived together with the end of a response. */
-const EXCESS_TURNS = 2
+const EXCESS_CHECK_TURNS = 2
 const HOP_BY_HOP: ReadonlySet<string> = new Set(['connection', 'keep-alive', 'transfer-encoding', 'upgrade', 'te', 'trailer', 'proxy-connection', 'content-length'])
 
 /**
@@ -44,8 +44,8 @@
 
   override async send (address: string, request: TargetRequest, signal: AbortSignal): Promise<TargetReply> {
     const client = this.take(address, this.clock.getNow()) ?? this.open(address)
-    const result = await exchange(client, request, signal)
-    if (result.kind === 'answered' || result.kind === 'shed') this.keep(address, client)
+    const result = await sendRequest(client, request, signal)
+    if (result.kind === 'answered' || result.kind === 'shed') this.addIdle(address, client)
     else void client.destroy()
     return result
   }
@@ -61,41 +61,41 @@
       connect: { timeout: CONNECT_TIMEOUT_MS },
       headersTimeout: 0,
       bodyTimeout: 0,
-      keepAliveTimeout: MAX_IDLE_MS,
+      keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
       pipelining: 1
     })
   }
 
   private take (address: string, now: number): Client | undefined {
     const connections = this.idle.get(address)
-    const last = connections?.pop()
-    if (last === undefined) return undefined
-    if (now - last.activeAt <= FRESH_MS && !last.client.closed && !last.client.destroyed) return last.client
-    void last.client.destroy()
-    this.drop(address)
+    const newest = connections?.pop()
+    if (newest === undefined) return undefined
+    if (now - newest.lastActiveAt <= MAX_REUSE_IDLE_MS && !newest.client.closed && !newest.client.destroyed) return newest.client
+    void newest.client.destroy()
+    this.closeIdle(address)
     return undefined
   }
 
-  private keep (address: string, client: Client): void {
+  private addIdle (address: string, client: Client): void {
     const connections = this.idle.get(address) ?? []
-    if (connections.length >= MAX_IDLE_CONNECTIONS) {
+    if (connections.length >= MAX_IDLE_CONNECTIONS_PER_TARGET) {
       void client.destroy()
       return
     }
-    connections.push({ client, activeAt: this.clock.getNow() })
+    connections.push({ client, lastActiveAt: this.clock.getNow() })
     this.idle.set(address, connections)
   }
 
   /** Destroys all idle connections to a target; called when the most recently used one is too old, so the others are too. */
-  private drop (address: string): void {
+  private closeIdle (address: string): void {
     for (const each of this.idle.get(address) ?? []) void each.client.destroy()
     this.idle.delete(address)
   }
 }
 
-async function exchange (client: Client, request: TargetRequest, signal: AbortSignal): Promise<TargetReply> {
-  let isAnswering = false
-  observeExcess(client)
+async function sendRequest (client: Client, request: TargetRequest, signal: AbortSignal): Promise<TargetReply> {
+  let hasResponseStarted = false
+  observeExcessBytes(client)
   try {
     const response = await client.request({
       method: request.method as 'GET',
@@ -104,7 +104,7 @@
       body: request.body.byteLength === 0 ? null : request.body,
       signal
     })
-    isAnswering = true
+    hasResponseStarted = true
     const headers = toHeaders(response.headers)
     const chunks: Buffer[] = []
     let bytes = 0
@@ -113,25 +113,25 @@
       if (bytes > request.maxAnswerBytes) return { kind: 'too-large', bytes }
       chunks.push(chunk)
     }
-    if (await isFollowedByMore(client)) return { kind: 'lost', message: 'the target sent more than the length that it stated', broken: true }
+    if (await hasExcessBytes(client)) return { kind: 'lost', message: 'the target sent more than the length that it stated', broken: true }
     const isShed = response.statusCode === NOT_RUN_STATUS && headers.some((header) => header.name === HeaderName.notRun && header.value === '1')
     if (isShed) return { kind: 'shed', retryAfterMs: readRetryAfterMs(headers) }
     return { kind: 'answered', status: response.statusCode, headers, body: chunks.length === 1 ? chunks[0] as Buffer : Buffer.concat(chunks) }
   } catch (error) {
     const isConnectError = error instanceof errors.ConnectTimeoutError || CONNECT_ERROR_CODES.has((error as NodeJS.ErrnoException).code ?? '')
     const message = error instanceof Error ? error.message : String(error)
-    if (isConnectError && !isAnswering) return { kind: 'not-sent', message }
-    return { kind: 'lost', message, broken: isAnswering && !signal.aborted }
+    if (isConnectError && !hasResponseStarted) return { kind: 'not-sent', message }
+    return { kind: 'lost', message, broken: hasResponseStarted && !signal.aborted }
   }
 }
 
 /** Clients whose connection received bytes that belong to no response. */
-const excessive = new WeakSet<Client>()
+const clientsWithExcessBytes = new WeakSet<Client>()
 
-function observeExcess (client: Client): void {
+function observeExcessBytes (client: Client): void {
   if (client.listenerCount('disconnect') > 0) return
   client.on('disconnect', (_origin, _targets, error) => {
-    if (error.message === EXCESS_MESSAGE) excessive.add(client)
+    if (error.message === EXCESS_BYTES_ERROR) clientsWithExcessBytes.add(client)
   })
 }
 
@@ -141,9 +141,9 @@
  * turns of the event loop if they arrived together with the stated ones. Excess bytes that arrive later are not
  * detected as part of this answer: by RFC 9112, section 6.3, its length is the stated one.
  */
-async function isFollowedByMore (client: Client): Promise<boolean> {
-  for (let turn = 0; turn < EXCESS_TURNS; turn += 1) await new Promise((resolve) => { setImmediate(resolve) })
-  return excessive.has(client)
+async function hasExcessBytes (client: Client): Promise<boolean> {
+  for (let turn = 0; turn < EXCESS_CHECK_TURNS; turn += 1) await new Promise((resolve) => { setImmediate(resolve) })
+  return clientsWithExcessBytes.has(client)
 }
 
 function toHeaders (raw: Record<string, string | string[] | undefined>): AnswerHeader[] {
--- a/packages/almondrelay/src/process/daemon/buildLimits.ts
+++ b/packages/almondrelay/src/process/daemon/buildLimits.ts
@@ -1,8 +1,8 @@
 import type Logger from 'bunyan'
-import { LenderKeeper } from '../../connection/limits/lenderKeeper.js'
-import { LinkedLimitPeers } from '../../connection/limits/linkedLimitPeers.js'
+import { LenderElection } from '../../connection/limits/lenderElection.js'
+import { RemoteLimitPeers } from '../../connection/limits/remoteLimitPeers.js'
 import { LoanTask } from '../../connection/limits/loanTask.js'
-import { RosterKeeper } from '../../connection/limits/rosterKeeper.js'
+import { RosterTask } from '../../connection/limits/rosterTask.js'
 import { SlotLeaseTask } from '../../connection/limits/slotLeaseTask.js'
 import type { Random } from '../../request/random.js'
 import { HostCapacity } from '../dispatch/hostCapacity.js'
@@ -38,8 +38,8 @@
   const slots = new HostSlots(identity)
   const limits = new RegionLimits(identity, slots.claims)
   const lender = new RegionLender(self)
-  const peers = new LinkedLimitPeers({ links, directory, sender: makeSender(identity) })
-  const lenderKeeper = new LenderKeeper({ platform, lender, self, region: identity.region, isWatcher, drift: defaultLimitsOptions.drift, clock, random, log })
+  const peers = new RemoteLimitPeers({ links, directory, sender: makeSender(identity) })
+  const lenderKeeper = new LenderElection({ platform, lender, self, region: identity.region, isWatcher, drift: defaultLimitsOptions.drift, clock, random, log })
   const loans = new LoanTask({ limits, peers, clock, findRegionLender: () => lenderKeeper.find() })
   return {
     slots,
@@ -47,7 +47,7 @@
     lender,
     lenderKeeper,
     capacity: new HostCapacity({ region: identity.region, slots, limits, wakeLoans: () => { loans.wake() } }),
-    rosterKeeper: new RosterKeeper({ platform, slots, self, availabilityZone: identity.availabilityZone, isWatcher, clock, random, log }),
+    rosterKeeper: new RosterTask({ platform, slots, self, availabilityZone: identity.availabilityZone, isWatcher, clock, random, log }),
     slotLeases: new SlotLeaseTask({ slots, clock, peers }),
     loans
   }
--- a/packages/almondrelay/src/process/daemon/host.ts
+++ b/packages/almondrelay/src/process/daemon/host.ts
@@ -1,8 +1,8 @@
 import type Logger from 'bunyan'
 import type { ExchangeHub } from '../../connection/exchange/exchangeHub.js'
-import type { LenderKeeper } from '../../connection/limits/lenderKeeper.js'
+import type { LenderElection } from '../../connection/limits/lenderElection.js'
 import type { LoanTask } from '../../connection/limits/loanTask.js'
-import type { RosterKeeper } from '../../connection/limits/rosterKeeper.js'
+import type { RosterTask } from '../../connection/limits/rosterTask.js'
 import type { SlotLeaseTask } from '../../connection/limits/slotLeaseTask.js'
 import type { OperatorAppOptions } from '../../connection/operator/operatorAppOptions.js'
 import type { PeerConnections } from '../../connection/peer/peerConnections.js'
@@ -52,9 +52,9 @@
   /** Slots and limits together. */
   capacity: HostCapacity
   services: Services
-  rosterKeeper: RosterKeeper
+  rosterKeeper: RosterTask
   slotLeases: SlotLeaseTask
-  lenderKeeper: LenderKeeper
+  lenderKeeper: LenderElection
   loans: LoanTask
   journal: Journal
   runner: TargetRunner
