--- a/packages/almondrelay-cli/src/__fixtures__/runWith.ts
+++ b/packages/almondrelay-cli/src/__fixtures__/runCommandLine.ts
@@ -7,7 +7,7 @@
 }
 
 /** Runs `almondrelay` in this process and collects its output. */
-export async function runWith (args: readonly string[], environment: Record<string, string> = {}): Promise<ProgramResult> {
+export async function runCommandLine (args: readonly string[], environment: Record<string, string> = {}): Promise<ProgramResult> {
   const result: ProgramResult = { code: 0, stdout: '', stderr: '' }
   await runProgram({
     writeLine: (text) => { result.stdout += `${text}\n` },
--- a/packages/almondrelay-cli/src/account/fetchAccount.ts
+++ b/packages/almondrelay-cli/src/account/fetchAccount.ts
@@ -7,6 +7,6 @@
 
 /** Fetches the account of a time span, given in milliseconds since the Unix epoch. */
 export async function fetchAccount (client: OperatorClient, since: number, until: number): Promise<AccountReport> {
-  const answer = await client.ask({ method: 'GET', path: `/v1/account?since=${since}&until=${until}`, timeoutMs: TIMEOUT_MS })
+  const answer = await client.sendIdempotent({ method: 'GET', path: `/v1/account?since=${since}&until=${until}`, timeoutMs: TIMEOUT_MS })
   return parseAnswer(answer, AccountReport, 'the account')
 }
--- a/packages/almondrelay-cli/src/account/formatAccount.ts
+++ b/packages/almondrelay-cli/src/account/formatAccount.ts
@@ -21,9 +21,9 @@
 }
 
 const formatJson = (report: AccountReport, rows: readonly AccountRow[], query: AccountQuery): string => {
-  const { minutes: _, ...about } = report
+  const { minutes: _, ...summary } = report
   const shown = rows.map((row) => ({ ...Object.fromEntries(query.by.map((dimension) => [dimension, row[dimension]])), requests: row.count, meanMs: computeMean(row), maxMs: row.maxDurationMs }))
-  return JSON.stringify({ ...about, total: rows.reduce((sum, row) => sum + row.count, 0), rows: shown }, undefined, 2)
+  return JSON.stringify({ ...summary, total: rows.reduce((sum, row) => sum + row.count, 0), rows: shown }, undefined, 2)
 }
 
 const formatCsv = (rows: readonly AccountRow[], query: AccountQuery): string => [
--- a/packages/almondrelay-cli/src/client/fetchQuarantine.ts
+++ b/packages/almondrelay-cli/src/client/fetchQuarantine.ts
@@ -7,5 +7,5 @@
 
 /** Fetches the requests that were running when targets exited, as known to the host that answers. */
 export async function fetchQuarantine (client: OperatorClient): Promise<QuarantinedRequest[]> {
-  return parseAnswer(await client.ask({ method: 'GET', path: '/v1/quarantine' }), Quarantine, 'the quarantine').requests
+  return parseAnswer(await client.sendIdempotent({ method: 'GET', path: '/v1/quarantine' }), Quarantine, 'the quarantine').requests
 }
--- a/packages/almondrelay-cli/src/client/fetchResources.ts
+++ b/packages/almondrelay-cli/src/client/fetchResources.ts
@@ -7,6 +7,6 @@
 
 /** Fetches all resources of a kind, sorted by name. */
 export async function fetchResources (client: OperatorClient, kind: string): Promise<ShownResource[]> {
-  const answer = await client.ask({ method: 'GET', path: `/v1/resources/${kind}` })
+  const answer = await client.sendIdempotent({ method: 'GET', path: `/v1/resources/${kind}` })
   return parseAnswer(answer, ResourceList, `the list of ${kind}`).resources.sort((left, right) => left.name.localeCompare(right.name))
 }
--- a/packages/almondrelay-cli/src/client/operatorClient.ts
+++ b/packages/almondrelay-cli/src/client/operatorClient.ts
@@ -6,7 +6,7 @@
 const DEFAULT_TIMEOUT_MS = 5_000
 
 /** Codes of errors that occur before the connection is open, so that no byte of the call can have reached the host. */
-const NOT_SENT = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'EADDRNOTAVAIL', 'UND_ERR_CONNECT_TIMEOUT'])
+const NOT_SENT_ERROR_CODES = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'EADDRNOTAVAIL', 'UND_ERR_CONNECT_TIMEOUT'])
 
 /** Sends calls to the operator port of the first of the given hosts that can be reached and is ready. */
 export class OperatorClient {
@@ -17,7 +17,7 @@
    *
    * @throws AlmondrelayError of kind `peer-unavailable` when no host answered.
    */
-  async ask (call: HttpCall): Promise<HttpAnswer> {
+  async sendIdempotent (call: HttpCall): Promise<HttpAnswer> {
     const answer = await this.tryHosts(call, () => true)
     return answer as HttpAnswer
   }
@@ -47,7 +47,7 @@
         failures.push(`${address}: ${describeFailure(error)}`)
       }
     }
-    throw makeUnreachable(failures)
+    throw makeUnreachableError(failures)
   }
 
   private async send (address: string, call: HttpCall): Promise<HttpAnswer> {
@@ -66,14 +66,14 @@
 // A host without a configuration answers `not-ready` and has stored nothing.
 const isNotReady = (answer: HttpAnswer): boolean => answer.status === 503 && (answer.body as { outcome?: string } | undefined)?.outcome === 'not-ready'
 
-const isNotSent = (error: unknown): boolean => NOT_SENT.has((error as { code?: string }).code ?? '')
+const isNotSent = (error: unknown): boolean => NOT_SENT_ERROR_CODES.has((error as { code?: string }).code ?? '')
 
 const describeFailure = (error: unknown): string => {
   const { code, message } = error as { code?: string, message: string }
   return code ?? message
 }
 
-const makeUnreachable = (failures: readonly string[]): AlmondrelayError => new AlmondrelayError({
+const makeUnreachableError = (failures: readonly string[]): AlmondrelayError => new AlmondrelayError({
   kind: ErrorKind.peerUnavailable,
   message: `no host answered (${failures.join('; ')})`,
   remedy: 'name operator ports that can be reached with --operator <ip:port>, once for each host, or in ALMONDRELAY_OPERATOR with commas'
--- a/packages/almondrelay-cli/src/client/releaseRequest.ts
+++ b/packages/almondrelay-cli/src/client/releaseRequest.ts
@@ -10,5 +10,5 @@
  * @throws AlmondrelayError of kind `resource-missing` where the host knows no such request.
  */
 export async function releaseRequest (client: OperatorClient, fingerprint: string): Promise<void> {
-  parseAnswer(await client.ask({ method: 'DELETE', path: `/v1/quarantine/${encodeURIComponent(fingerprint)}` }), Released, `request ${fingerprint}`)
+  parseAnswer(await client.sendIdempotent({ method: 'DELETE', path: `/v1/quarantine/${encodeURIComponent(fingerprint)}` }), Released, `request ${fingerprint}`)
 }
--- a/packages/almondrelay-cli/src/client/writeResource.ts
+++ b/packages/almondrelay-cli/src/client/writeResource.ts
@@ -20,8 +20,8 @@
 }
 
 /** Number of times that a write is sent and then looked up, and the delay between them, before its outcome is reported as unknown. */
-const LOOK_UPS = 5
-const LOOK_UP_PAUSE_MS = 300
+const MAX_ATTEMPTS = 5
+const ATTEMPT_DELAY_MS = 300
 /** Longer than the 5 s for which a host itself tries to determine the outcome of a write. */
 const WRITE_TIMEOUT_MS = 8_000
 
@@ -36,12 +36,12 @@
 export async function writeResource (client: OperatorClient, write: ResourceWrite, signal: AbortSignal): Promise<WriteOutcome> {
   const writeId = randomUUID()
   const call = buildCall(write, writeId)
-  for (let look = 0; look < LOOK_UPS; look += 1) {
+  for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
     const outcome = toOutcome(await client.write(call), writeId)
     if (outcome !== undefined) return outcome
-    const state = await findWrite(client, writeId)
+    const state = await fetchWriteState(client, writeId)
     if (state?.outcome === 'accepted') return { outcome: 'accepted', revision: state.revision, writeId }
-    await sleep(LOOK_UP_PAUSE_MS, undefined, { signal })
+    await sleep(ATTEMPT_DELAY_MS, undefined, { signal })
   }
   return { outcome: 'unknown', writeId }
 }
@@ -72,8 +72,8 @@
     .exhaustive()
 }
 
-const findWrite = async (client: OperatorClient, writeId: string): Promise<WriteState | undefined> => {
-  const answer = await client.ask({ method: 'GET', path: `/v1/writes/${writeId}` }).catch(() => undefined)
+const fetchWriteState = async (client: OperatorClient, writeId: string): Promise<WriteState | undefined> => {
+  const answer = await client.sendIdempotent({ method: 'GET', path: `/v1/writes/${writeId}` }).catch(() => undefined)
   return WriteState.safeParse(answer?.body).data
 }
 
--- a/packages/almondrelay-cli/src/commands/createApplyCommand.ts
+++ b/packages/almondrelay-cli/src/commands/createApplyCommand.ts
@@ -17,7 +17,7 @@
 import { findAuthor } from './findAuthor.js'
 import { formatExample } from './formatExample.js'
 import type { OperatorOptions } from './operatorOptions.js'
-import { parseWhole } from './parseWhole.js'
+import { parseWholeNumber } from './parseWholeNumber.js'
 import { reportReach } from './reportReach.js'
 
 interface ApplyOptions extends OperatorOptions {
@@ -31,7 +31,7 @@
   return addOperatorOptions(new Command('apply'))
     .description('Write the resources in files, dependencies first. Stops at the first that is not accepted; unchanged resources are skipped.')
     .requiredOption('-f, --file <file...>', 'file of resources: a list of {kind, name, spec}, JSON with comments')
-    .option('--wait <ms>', 'wait up to this long until the resources are in force on every reachable host; reports from other regions arrive every 2 s, so give 5000 or more', parseWhole)
+    .option('--wait <ms>', 'wait up to this long until the resources are in force on every reachable host; reports from other regions arrive every 2 s, so give 5000 or more', parseWholeNumber)
     .option('--author <name>', 'author to record in the change log (default: ALMONDRELAY_AUTHOR, or the user of this machine)')
     .addHelpText('after', formatExample('almondrelay apply -f shift.jsonc --wait 5000 --operator 10.1.1.11:8082 --operator 10.2.1.11:8082'))
     .action(async (options: ApplyOptions) => {
@@ -59,9 +59,9 @@
 }
 
 const applyOne = async (terminal: Terminal, client: OperatorClient, resource: DeclaredResource, author: string | undefined): Promise<WriteOutcome> => {
-  const present = await fetchResource(client, resource.kind, resource.name)
+  const current = await fetchResource(client, resource.kind, resource.name)
   const spec = resourceSpecs[resource.kind].parse(resource.spec)
-  if (present !== undefined && isDeepStrictEqual(present.spec, spec)) return { outcome: 'unchanged', revision: present.revision }
-  const write = { method: 'PUT' as const, kind: resource.kind, name: resource.name, spec, revision: resource.revision ?? present?.revision, author: findAuthor(terminal, author) }
+  if (current !== undefined && isDeepStrictEqual(current.spec, spec)) return { outcome: 'unchanged', revision: current.revision }
+  const write = { method: 'PUT' as const, kind: resource.kind, name: resource.name, spec, revision: resource.revision ?? current?.revision, author: findAuthor(terminal, author) }
   return writeResource(client, write, terminal.signal)
 }
--- a/packages/almondrelay-cli/src/commands/createClient.ts
+++ b/packages/almondrelay-cli/src/commands/createClient.ts
@@ -10,11 +10,11 @@
  * @throws AlmondrelayError of kind `request-invalid` if no host is given, or one of them is not an address.
  */
 export function createClient (terminal: Terminal, operator: readonly string[] | undefined): OperatorClient {
-  const given = operator ?? (terminal.environment.ALMONDRELAY_OPERATOR ?? '').split(',').filter((address) => address !== '')
-  if (given.length === 0) throw makeError('no host is given')
-  const wrong = given.find((address) => !ADDRESS.test(address))
-  if (wrong !== undefined) throw makeError(`'${wrong}' is not an address`)
-  return new OperatorClient(given, terminal.signal)
+  const addresses = operator ?? (terminal.environment.ALMONDRELAY_OPERATOR ?? '').split(',').filter((address) => address !== '')
+  if (addresses.length === 0) throw makeError('no host is given')
+  const invalid = addresses.find((address) => !ADDRESS.test(address))
+  if (invalid !== undefined) throw makeError(`'${invalid}' is not an address`)
+  return new OperatorClient(addresses, terminal.signal)
 }
 
 const makeError = (message: string): AlmondrelayError => new AlmondrelayError({
--- a/packages/almondrelay-cli/src/commands/createLookupCommand.ts
+++ b/packages/almondrelay-cli/src/commands/createLookupCommand.ts
@@ -35,7 +35,7 @@
     .action(async (options: LookupOptions) => {
       const client = new OperatorClient([await findEntry(terminal, options)], terminal.signal)
       const query = new URLSearchParams({ service: options.service, ...(options.from === undefined ? {} : { from: options.from }) })
-      const answer = parseAnswer(await client.ask({ method: 'GET', path: `/v1/lookup?${query.toString()}` }), LookupAnswer, `look-up of ${options.service}`)
+      const answer = parseAnswer(await client.sendIdempotent({ method: 'GET', path: `/v1/lookup?${query.toString()}` }), LookupAnswer, `look-up of ${options.service}`)
       terminal.writeLine(options.output === OutputFormat.json ? JSON.stringify(answer, undefined, 2) : formatAnswer(answer))
     })
 }
--- a/packages/almondrelay-cli/src/commands/createOutcomeCommand.ts
+++ b/packages/almondrelay-cli/src/commands/createOutcomeCommand.ts
@@ -17,7 +17,7 @@
     .argument('<write id>', 'the write id that apply or delete printed')
     .addHelpText('after', formatExample('almondrelay outcome 7d0f0a52-6a3c-4f0e-9b93-0d8f2a3f6f11 --operator 10.1.1.11:8082'))
     .action(async (writeId: string, options: OperatorOptions) => {
-      const answer = await createClient(terminal, options.operator).ask({ method: 'GET', path: `/v1/writes/${encodeURIComponent(writeId)}` })
+      const answer = await createClient(terminal, options.operator).sendIdempotent({ method: 'GET', path: `/v1/writes/${encodeURIComponent(writeId)}` })
       const state = parseAnswer(answer, WriteState, `write ${writeId}`)
       if (options.output === OutputFormat.json) terminal.writeLine(JSON.stringify(state))
       else terminal.writeLine(describeState(state))
--- a/packages/almondrelay-cli/src/commands/createProgram.ts
+++ b/packages/almondrelay-cli/src/commands/createProgram.ts
@@ -53,14 +53,14 @@
     .description('Operate almondrelay: declare resources, watch them take effect, read the account of requests.')
     .addHelpText('after', `${formatExample('almondrelay apply -f shift.jsonc --wait 5000 --operator 10.1.1.11:8082', 'almondrelay help watch')}\n${EXIT_CODES}`)
   for (const createCommand of COMMANDS) program.addCommand(createCommand(terminal))
-  applyToAll(program, terminal)
+  applyTerminal(program, terminal)
   return program
 }
 
-const applyToAll = (command: Command, terminal: Terminal): void => {
+const applyTerminal = (command: Command, terminal: Terminal): void => {
   command.exitOverride().showSuggestionAfterError().configureOutput({
     writeOut: (text) => terminal.writeLine(text.trimEnd()),
     writeErr: (text) => terminal.writeError(text.trimEnd())
   })
-  for (const each of command.commands) applyToAll(each, terminal)
+  for (const each of command.commands) applyTerminal(each, terminal)
 }
--- a/packages/almondrelay-cli/src/commands/createReplayCommand.ts
+++ b/packages/almondrelay-cli/src/commands/createReplayCommand.ts
@@ -7,7 +7,7 @@
 import { readTrace } from '../trace/readTrace.js'
 import { formatExample } from './formatExample.js'
 
-const MAX_SHOWN = 20
+const MAX_SHOWN_DIFFERENCES = 20
 
 /** `almondrelay replay`: repeats recorded decisions and compares the results. */
 export function createReplayCommand (terminal: Terminal): Command {
@@ -33,7 +33,7 @@
     if (verdict.kind === 'passed') summary.passed[`${line.decision}: ${verdict.reason}`] = (summary.passed[`${line.decision}: ${verdict.reason}`] ?? 0) + 1
     if (verdict.kind === 'different') {
       summary.different += 1
-      if (summary.different <= MAX_SHOWN) terminal.writeError(`${file}:${number} ${line.decision} ${line.requestId}\n  recorded ${JSON.stringify(line.output)}\n  now      ${JSON.stringify(verdict.found)}`)
+      if (summary.different <= MAX_SHOWN_DIFFERENCES) terminal.writeError(`${file}:${number} ${line.decision} ${line.requestId}\n  recorded ${JSON.stringify(line.output)}\n  now      ${JSON.stringify(verdict.found)}`)
     }
   }
   return summary
--- a/packages/almondrelay-cli/src/commands/createWatchCommand.ts
+++ b/packages/almondrelay-cli/src/commands/createWatchCommand.ts
@@ -14,7 +14,7 @@
 import { decideWatch } from './decideWatch.js'
 import { formatExample } from './formatExample.js'
 import type { OperatorOptions } from './operatorOptions.js'
-import { parseWhole } from './parseWhole.js'
+import { parseWholeNumber } from './parseWholeNumber.js'
 import { WatchGoal } from './watchGoal.js'
 
 interface WatchOptions extends OperatorOptions {
@@ -22,7 +22,7 @@
   timeout: number
 }
 
-const POLL_MS = 250
+const POLL_INTERVAL_MS = 250
 const DEFAULT_TIMEOUT_MS = 60_000
 
 /** `almondrelay watch`: follows resources until a goal is reached. */
@@ -32,7 +32,7 @@
     .argument('<kind>', 'Service, Region, Link, SteeringPolicy, Drain or ShiftCap')
     .argument('[name]', 'name of one resource')
     .addOption(new Option('--until <goal>', 'in-force: everywhere that can be reached; drained: no work is left').choices(Object.values(WatchGoal)).default(WatchGoal.inForce))
-    .option('--timeout <ms>', `give up after this long, with exit code ${ExitCode.timeout}`, parseWhole, DEFAULT_TIMEOUT_MS)
+    .option('--timeout <ms>', `give up after this long, with exit code ${ExitCode.timeout}`, parseWholeNumber, DEFAULT_TIMEOUT_MS)
     .addHelpText('after', formatExample('almondrelay watch Drain akl-a-maintenance --until drained --timeout 120000 --operator 10.1.1.11:8082'))
     .action(async (kindText: string, name: string | undefined, options: WatchOptions) => {
       const client = createClient(terminal, options.operator)
@@ -41,21 +41,21 @@
 }
 
 const watchUntil = async (terminal: Terminal, client: OperatorClient, kind: ResourceKind, name: string | undefined, options: WatchOptions): Promise<ExitCode> => {
-  const until = performance.now() + options.timeout
-  const shown = new Map<string, string>()
+  const deadline = performance.now() + options.timeout
+  const printedTexts = new Map<string, string>()
   for (;;) {
-    const code = await lookOnce(terminal, client, kind, name, options, shown)
+    const code = await checkOnce(terminal, client, kind, name, options, printedTexts)
     if (code !== undefined) return code
-    if (performance.now() >= until) {
+    if (performance.now() >= deadline) {
       terminal.writeError(`${options.until} was not reached within ${options.timeout} ms; the lines above and almondrelay status show what is missing`)
       return ExitCode.timeout
     }
-    await sleep(POLL_MS, undefined, { signal: terminal.signal })
+    await sleep(POLL_INTERVAL_MS, undefined, { signal: terminal.signal })
   }
 }
 
 // Returns the exit code; undefined while the goal is not reached.
-const lookOnce = async (terminal: Terminal, client: OperatorClient, kind: ResourceKind, name: string | undefined, options: WatchOptions, shown: Map<string, string>): Promise<ExitCode | undefined> => {
+const checkOnce = async (terminal: Terminal, client: OperatorClient, kind: ResourceKind, name: string | undefined, options: WatchOptions, printedTexts: Map<string, string>): Promise<ExitCode | undefined> => {
   const resources = name === undefined ? await fetchResources(client, kind) : [await fetchResource(client, kind, name)]
   const status = await fetchStatus(client)
   let reached = true
@@ -66,8 +66,8 @@
     }
     const state = decideWatch(options.until, resource, status)
     reached &&= state.reached
-    if (shown.get(resource.name) === state.text) continue
-    shown.set(resource.name, state.text)
+    if (printedTexts.get(resource.name) === state.text) continue
+    printedTexts.set(resource.name, state.text)
     terminal.writeLine(options.output === OutputFormat.json ? JSON.stringify({ resource: `${kind}/${resource.name}`, ...state }) : `${kind}/${resource.name}: ${state.text}`)
   }
   return reached ? ExitCode.ok : undefined
--- a/packages/almondrelay-cli/src/explain/describeDecision.ts
+++ b/packages/almondrelay-cli/src/explain/describeDecision.ts
@@ -21,11 +21,11 @@
 }
 
 const describeAdmission = (input: Fields, output: Fields): string => {
-  const known = 'free' in input ? ` (${formatFields({ free: input.free, capacity: input.capacity, waiting: input.waiting })})` : ''
+  const queueState = 'free' in input ? ` (${formatFields({ free: input.free, capacity: input.capacity, waiting: input.waiting })})` : ''
   return match(output.kind)
-    .with('start', () => `admitted at once${known}`)
-    .with('wait', () => `queued${known}`)
-    .with('refuse', () => `refused: ${describeRefusal(output)}${known}`)
+    .with('start', () => `admitted at once${queueState}`)
+    .with('wait', () => `queued${queueState}`)
+    .with('refuse', () => `refused: ${describeRefusal(output)}${queueState}`)
     .otherwise(() => `queue: ${formatFields(output)}`)
 }
 
--- a/packages/almondrelay-cli/src/explain/describeRequest.ts
+++ b/packages/almondrelay-cli/src/explain/describeRequest.ts
@@ -4,20 +4,20 @@
 export function describeRequest (line: RequestLine): string {
   const version = line.version === undefined ? '' : ` of version ${line.version}`
   const route = line.route === undefined ? '' : `route ${line.route}${version}, `
-  const place = line.service === undefined ? '' : `service ${line.service}, key ${line.key ?? 'none'} with its place in ${line.homeRegion}; `
+  const placement = line.service === undefined ? '' : `service ${line.service}, key ${line.key ?? 'none'} with its place in ${line.homeRegion}; `
   const attempts = line.attempts.length === 0 ? 'no target asked' : line.attempts.map(describeAttempt).join('; ')
   const reason = line.reason === undefined ? '' : `, because of: ${line.reason}`
   const duration = line.ms === undefined ? '' : `, after ${line.ms} ms`
   const fingerprint = line.fingerprint === undefined ? '' : `, fingerprint ${line.fingerprint}`
-  return `${route}${describeOrganisation(line)}${place}${attempts}; answered ${line.outcome ?? line.status ?? 'refused'}${reason}${duration}${fingerprint}`
+  return `${route}${describeOrganisation(line)}${placement}${attempts}; answered ${line.outcome ?? line.status ?? 'refused'}${reason}${duration}${fingerprint}`
 }
 
 const PERCENT = 100
 
 const describeOrganisation = ({ organisation, allowedPart }: RequestLine): string => {
   if (organisation === undefined) return ''
-  const part = allowedPart === undefined ? '' : ` (${Math.round(allowedPart * PERCENT)}% of its requests let through)`
-  return `organisation ${organisation}${part}, `
+  const share = allowedPart === undefined ? '' : ` (${Math.round(allowedPart * PERCENT)}% of its requests let through)`
+  return `organisation ${organisation}${share}, `
 }
 
 const describeAttempt = (attempt: RequestLine['attempts'][number], index: number): string =>
--- a/packages/almondrelay-cli/src/replay/__tests__/replay.test.ts
+++ b/packages/almondrelay-cli/src/replay/__tests__/replay.test.ts
@@ -1,10 +1,10 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { recordBurst } from '../../__fixtures__/recordBurst.js'
-import { runWith } from '../../__fixtures__/runWith.js'
-import { writeTemporary } from '../../__fixtures__/writeTemporary.js'
+import { runCommandLine } from '../../__fixtures__/runCommandLine.js'
+import { writeTemporaryFile } from '../../__fixtures__/writeTemporaryFile.js'
 
-const runReplay = async (lines: readonly string[]) => runWith(['replay', writeTemporary(lines.join('\n'))])
+const runReplay = async (lines: readonly string[]) => runCommandLine(['replay', writeTemporaryFile(lines.join('\n'))])
 
 test('replaying a recorded burst gives the same decisions, line by line', async () => {
   for (const seed of [1, 2, 3]) {
@@ -51,7 +51,7 @@
 })
 
 test('a missing file is a usage error', async () => {
-  assert.is((await runWith(['replay', '/nowhere.log'])).code, 2)
+  assert.is((await runCommandLine(['replay', '/nowhere.log'])).code, 2)
 })
 
 test.run()
--- a/packages/almondrelay-cli/src/replay/__tests__/traces.test.ts
+++ b/packages/almondrelay-cli/src/replay/__tests__/traces.test.ts
@@ -2,7 +2,7 @@
 import { fileURLToPath } from 'node:url'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { runWith } from '../../__fixtures__/runWith.js'
+import { runCommandLine } from '../../__fixtures__/runCommandLine.js'
 
 const FOLDER = new URL('../../../src/replay/__fixtures__/', import.meta.url)
 
@@ -13,7 +13,7 @@
   test(`replaying the recorded trace ${name} gives the same decisions`, async () => {
     const file = fileURLToPath(new URL(`${name}.jsonl`, FOLDER))
     const lines = readFileSync(file, 'utf8').trim().split('\n').length
-    const result = await runWith(['replay', file])
+    const result = await runCommandLine(['replay', file])
     assert.is(result.code, 0, result.stderr)
     assert.match(result.stdout, `${lines} decisions: ${lines} the same, 0 different`)
   })
--- a/packages/almondrelay-cli/src/replay/replayRandom.ts
+++ b/packages/almondrelay-cli/src/replay/replayRandom.ts
@@ -12,7 +12,7 @@
   }
 
   /** Returns the number of recorded draws that were not used. */
-  countLeft (): number {
+  countUnused (): number {
     return this.draws.length - this.position
   }
 
--- a/packages/almondrelay-cli/src/replay/traceReplay.ts
+++ b/packages/almondrelay-cli/src/replay/traceReplay.ts
@@ -24,8 +24,8 @@
     try {
       const found = run()
       if (found === UNKNOWN_STATE) return { kind: 'passed', reason: 'the trace begins after the module was made, or this version knows no such call' }
-      const left = this.random.countLeft()
-      if (left > 0) return { kind: 'different', found: `${left} recorded random numbers were not used` }
+      const unused = this.random.countUnused()
+      if (unused > 0) return { kind: 'different', found: `${unused} recorded random numbers were not used` }
       return isDeepStrictEqual(toJson(found), line.output ?? null) ? { kind: 'same' } : { kind: 'different', found: toJson(found) }
     } catch (error) {
       return { kind: 'different', found: `error: ${(error as Error).message}` }
--- a/packages/almondrelay-cli/src/report/__tests__/report.test.ts
+++ b/packages/almondrelay-cli/src/report/__tests__/report.test.ts
@@ -2,12 +2,12 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { AccountLedger, createSeededRandom, mergePages, type AccountReport } from 'almondrelay'
-import { FakeOperator } from '../../__fixtures__/fakeOperator.js'
-import { runWith } from '../../__fixtures__/runWith.js'
-import { writeTemporary } from '../../__fixtures__/writeTemporary.js'
-import { listLoad } from '../listLoad.js'
+import { FakeOperatorApi } from '../../__fixtures__/fakeOperatorApi.js'
+import { runCommandLine } from '../../__fixtures__/runCommandLine.js'
+import { writeTemporaryFile } from '../../__fixtures__/writeTemporaryFile.js'
+import { listRegionLoad } from '../listRegionLoad.js'
 import { listRefusals } from '../listRefusals.js'
-import { listShift } from '../listShift.js'
+import { listShiftedLoad } from '../listShiftedLoad.js'
 
 const MINUTE = 60_000
 const FIRST = 29_833_200
@@ -36,14 +36,14 @@
 }
 
 test('load is the mean number of requests in flight, by region and minute', () => {
-  const points = listLoad(data)
+  const points = listRegionLoad(data)
   assert.is(points.length, 60)
   assert.is(points.find(({ series }) => series === 'akl')?.value, 8)
   assert.is(points.find(({ series }) => series === 'wlg')?.value, 0)
 })
 
 test('a shift is the load of callers of one region in another', () => {
-  const values = listShift(data).map(({ value }) => value)
+  const values = listShiftedLoad(data).map(({ value }) => value)
   assert.is(values[0], 0)
   assert.ok((values[15] ?? 0) > 2 && (values[15] ?? 0) < 4)
 })
@@ -55,12 +55,12 @@
 })
 
 test('the page has its charts, loads no other resources, and escapes names', async () => {
-  const fake = await FakeOperator.start()
+  const fake = await FakeOperatorApi.start()
   fake.pages = data.account
   data.regions.forEach(({ name, maxInFlight }) => fake.resources.set(`Region/${name}`, { kind: 'Region', name, revision: 1, spec: { availabilityZones: [`${name}-a`], maxInFlight } }))
   fake.resources.set('ShiftCap/akl-to-wlg', { kind: 'ShiftCap', name: 'akl-to-wlg', revision: 1, spec: { from: 'akl', to: 'wlg', maxInFlight: 4 } })
-  const file = writeTemporary('')
-  const result = await runWith(['report', '--output', file, '--operator', fake.address])
+  const file = writeTemporaryFile('')
+  const result = await runCommandLine(['report', '--output', file, '--operator', fake.address])
   await fake.stop()
   assert.is(result.code, 0, result.stderr)
   const page = readFileSync(file, 'utf8')
@@ -71,10 +71,10 @@
 })
 
 test('a time span without requests gives a page that says so', async () => {
-  const fake = await FakeOperator.start()
+  const fake = await FakeOperatorApi.start()
   fake.pages = { ...data.account, minutes: [], pages: 0 }
-  const file = writeTemporary('')
-  const result = await runWith(['report', '--output', file, '--operator', fake.address])
+  const file = writeTemporaryFile('')
+  const result = await runCommandLine(['report', '--output', file, '--operator', fake.address])
   await fake.stop()
   assert.is(result.code, 0, result.stderr)
   assert.match(readFileSync(file, 'utf8'), 'No requests were counted.')
--- a/packages/almondrelay-cli/src/report/buildLineChart.ts
+++ b/packages/almondrelay-cli/src/report/buildLineChart.ts
@@ -13,9 +13,9 @@
 
 /** Builds one small chart for each series, one above the other, with its values by minute and its limit. */
 export function buildLineChart ({ points, valueTitle, limits }: LineChart): TopLevelSpec {
-  const limitOf = new Map(limits.map(({ series, limit }) => [series, limit]))
+  const limitBySeries = new Map(limits.map(({ series, limit }) => [series, limit]))
   return {
-    data: { values: points.map((point) => ({ ...point, limit: limitOf.get(point.series) ?? null })) },
+    data: { values: points.map((point) => ({ ...point, limit: limitBySeries.get(point.series) ?? null })) },
     facet: { row: { field: 'series', type: 'nominal', title: null, header: { labelAngle: 0, labelAlign: 'left', labelFontWeight: 'bold' } } },
     spec: {
       width: WIDTH,
--- a/packages/almondrelay-cli/src/report/renderReport.ts
+++ b/packages/almondrelay-cli/src/report/renderReport.ts
@@ -3,10 +3,10 @@
 import { buildBarChart } from './buildBarChart.js'
 import { buildLineChart } from './buildLineChart.js'
 import { formatHtml } from './formatHtml.js'
-import { listLoad } from './listLoad.js'
+import { listRegionLoad } from './listRegionLoad.js'
 import { listMinutes } from './listMinutes.js'
 import { listRefusals } from './listRefusals.js'
-import { listShift } from './listShift.js'
+import { listShiftedLoad } from './listShiftedLoad.js'
 import { renderChart } from './renderChart.js'
 import type { ReportData } from './reportData.js'
 
@@ -37,7 +37,7 @@
 }
 
 const renderLoad = async (data: ReportData): Promise<string> => {
-  const points = listLoad(data)
+  const points = listRegionLoad(data)
   if (points.length === 0) return renderNote('No requests were counted.')
   return renderChart(buildLineChart({ points, valueTitle: 'in flight', limits: data.regions.map(({ name, maxInFlight }) => ({ series: name, limit: maxInFlight })) }))
 }
@@ -50,7 +50,7 @@
 }
 
 const renderShift = async (data: ReportData): Promise<string> => {
-  const points = listShift(data)
+  const points = listShiftedLoad(data)
   if (points.length === 0) return renderNote('No shift cap is declared, or no requests were counted.')
   const chart = await renderChart(buildLineChart({ points, valueTitle: 'in flight', limits: data.shiftCaps.map(({ name, maxInFlight }) => ({ series: name, limit: maxInFlight })) }))
   return `${renderNote('Requests in flight of callers of one region in another, mean of each minute; the dashed line is the cap as declared now.')}\n${chart}`
--- a/packages/almondrelay-cli/src/resources/parseResources.ts
+++ b/packages/almondrelay-cli/src/resources/parseResources.ts
@@ -17,7 +17,7 @@
   const problems = entries.flatMap((_, index) => checkEntry(document, index))
   if (problems.length > 0) return { resources: [], problems }
   const resources = entries.map((entry) => DeclaredResource.parse(entry))
-  return { resources, problems: findDoubles(document, resources) }
+  return { resources, problems: findDuplicates(document, resources) }
 }
 
 const checkEntry = (document: JsoncDocument, index: number): FileProblem[] => {
@@ -27,7 +27,7 @@
   return checkDocument(document, resourceSpecs[entry.kind], [index, 'spec'])
 }
 
-const findDoubles = (document: JsoncDocument, resources: readonly DeclaredResource[]): FileProblem[] => {
+const findDuplicates = (document: JsoncDocument, resources: readonly DeclaredResource[]): FileProblem[] => {
   const seen = new Set<string>()
   return resources.flatMap((resource, index) => {
     const key = `${resource.kind}/${resource.name}`
--- a/packages/almondrelay-cli/src/resources/sortByDependence.ts
+++ b/packages/almondrelay-cli/src/resources/sortByDependence.ts
@@ -2,7 +2,7 @@
 import type { DeclaredResource } from './declaredResource.js'
 
 // A policy, drain or cap that is written before the region or service it names would be refused or have no effect.
-const ORDER: readonly ResourceKind[] = [
+const WRITE_ORDER: readonly ResourceKind[] = [
   ResourceKind.region,
   ResourceKind.link,
   ResourceKind.service,
@@ -16,5 +16,5 @@
  * and drains whose shift they limit.
  */
 export function sortByDependence (resources: readonly DeclaredResource[]): DeclaredResource[] {
-  return [...resources].sort((left, right) => ORDER.indexOf(left.kind) - ORDER.indexOf(right.kind))
+  return [...resources].sort((left, right) => WRITE_ORDER.indexOf(left.kind) - WRITE_ORDER.indexOf(right.kind))
 }
