--- a/packages/almondrelay/src/caller/caller.ts
+++ b/packages/almondrelay/src/caller/caller.ts
@@ -5,7 +5,7 @@
 import { buildRefusal } from '../request/buildRefusal.js'
 import { Outcome } from '../request/outcome.js'
 import { RefusalReason } from '../request/refusalReason.js'
-import { sortByDraw } from '../version/weights/sortByDraw.js'
+import { sortByWeightedDraw } from '../version/weights/sortByWeightedDraw.js'
 import type { CallerCall } from './callerCall.js'
 import type { CallerHost } from './callerHost.js'
 import type { CallerOptions } from './callerOptions.js'
@@ -26,9 +26,9 @@
   signal: AbortSignal
 }
 
-const MAX_IDLE_MS = 10_000
-const LOST_PAUSE_MS = 100
-const DEFAULT_RETRY_MS = 500
+const KEEP_ALIVE_TIMEOUT_MS = 10_000
+const RETRY_DELAY_MS = 100
+const MAX_RETRY_JITTER_MS = 500
 
 /**
  * Client that follows the caller contract: looks up hosts, sends requests with id, home, attempt and
@@ -36,7 +36,7 @@
  * home answers `not-run`; only then is it sent with the next attempt number, possibly to another host.
  */
 export class Caller {
-  private readonly agent = new Agent({ keepAliveTimeout: MAX_IDLE_MS, headersTimeout: 0, bodyTimeout: 0 })
+  private readonly agent = new Agent({ keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS, headersTimeout: 0, bodyTimeout: 0 })
   private readonly lookups: LookupCache
 
   constructor (private readonly options: CallerOptions) {
@@ -76,38 +76,38 @@
   private async advance (state: CallState): Promise<boolean> {
     const host = await this.chooseHost(state)
     if (host === undefined) {
-      await this.options.clock.sleep(LOST_PAUSE_MS, state.signal)
+      await this.options.clock.sleep(RETRY_DELAY_MS, state.signal)
       state.failed.clear()
       return false
     }
     const home = state.home ?? host
-    const result = await sendToHost({ ...state, caller: this.options.caller, host, home, leftMs: state.deadlineAt - this.options.clock.getNow(), dispatcher: this.agent })
+    const result = await sendToHost({ ...state, caller: this.options.caller, host, home, remainingMs: state.deadlineAt - this.options.clock.getNow(), dispatcher: this.agent })
     if (result.kind === 'not-sent') {
       state.failed.add(host.name)
-      this.lookups.drop(state.call.service)
+      this.lookups.remove(state.call.service)
       return false
     }
     state.home = home
-    if (result.kind === 'lost') return await this.acceptLoss(state, host)
+    if (result.kind === 'lost') return await this.handleLostConnection(state, host)
     state.last = result.answer
-    return await this.acceptAnswer(state, result.answer)
+    return await this.handleAnswer(state, result.answer)
   }
 
-  private async acceptAnswer (state: CallState, answer: Answer): Promise<boolean> {
+  private async handleAnswer (state: CallState, answer: Answer): Promise<boolean> {
     if (answer.outcome === Outcome.run || answer.retryAfterMs === undefined) return true
-    const waitMs = answer.retryAfterMs + this.options.random() * DEFAULT_RETRY_MS
+    const waitMs = answer.retryAfterMs + this.options.random() * MAX_RETRY_JITTER_MS
     if (this.options.clock.getNow() + waitMs >= state.deadlineAt) return true
     await this.options.clock.sleep(waitMs, state.signal)
     if (answer.outcome === Outcome.notRun) {
-      this.renew(state, answer)
+      this.beginAttempt(state, answer)
       state.home = undefined
-      this.lookups.drop(state.call.service)
+      this.lookups.remove(state.call.service)
     }
     return false
   }
 
   /** Begins a new attempt, under a new id if the home has fenced the current one and can no longer distinguish its attempts. */
-  private renew (state: CallState, answer: Answer): void {
+  private beginAttempt (state: CallState, answer: Answer): void {
     state.attempt += 1
     if (answer.reason !== RefusalReason.fenced) return
     state.id = createId(this.options.clock.getWallTime())
@@ -118,11 +118,11 @@
    * Handles a lost connection: the same request is sent again through any host, to the same home unless it is
    * idempotent, until the deadline.
    */
-  private async acceptLoss (state: CallState, host: CallerHost): Promise<boolean> {
+  private async handleLostConnection (state: CallState, host: CallerHost): Promise<boolean> {
     state.last = buildRefusal({ outcome: Outcome.unknown, reason: RefusalReason.answerLost, message: `the connection to host ${host.name} was lost: ask the service whether it ran` })
     state.failed.add(host.name)
     if (state.call.idempotent) state.home = undefined
-    await this.options.clock.sleep(LOST_PAUSE_MS, state.signal)
+    await this.options.clock.sleep(RETRY_DELAY_MS, state.signal)
     return false
   }
 
@@ -133,7 +133,7 @@
     try {
       const hosts = await this.lookups.find(state.call.service, state.signal)
       const usable = hosts.filter((host) => !failed.has(host.name))
-      const [first] = sortByDraw(usable.map(({ name, weight }) => ({ host: name, weight })), this.options.random)
+      const [first] = sortByWeightedDraw(usable.map(({ name, weight }) => ({ host: name, weight })), this.options.random)
       return usable.find((host) => host.name === first?.host)
     } catch (error) {
       if (error instanceof AlmondrelayError) return undefined
--- a/packages/almondrelay/src/caller/lookupCache.ts
+++ b/packages/almondrelay/src/caller/lookupCache.ts
@@ -20,22 +20,22 @@
 
 /** Caches look-up answers for their time to live. */
 export class LookupCache {
-  private readonly cached = new Map<string, CachedLookup>()
-  private known: string[]
+  private readonly cachedLookups = new Map<string, CachedLookup>()
+  private knownAddresses: string[]
 
   constructor (hosts: readonly string[], private readonly clock: Clock, private readonly dispatcher: Dispatcher) {
-    this.known = [...hosts]
+    this.knownAddresses = [...hosts]
   }
 
   /** Finds the hosts for a service, best first; rejects with `not-ready` if no host answers and no answer is cached. */
   async find (service: string, signal: AbortSignal): Promise<CallerHost[]> {
-    const cached = this.cached.get(service)
+    const cached = this.cachedLookups.get(service)
     if (cached !== undefined && cached.expiresAt > this.clock.getNow()) return cached.hosts
-    for (const address of this.known) {
-      const answer = await this.ask(address, service, signal)
+    for (const address of this.knownAddresses) {
+      const answer = await this.fetchAnswer(address, service, signal)
       if (answer === undefined) continue
-      this.cached.set(service, { hosts: answer.hosts, expiresAt: this.clock.getNow() + answer.ttlMs })
-      this.known = [...new Set([...answer.hosts.map((host) => host.address), ...this.known])]
+      this.cachedLookups.set(service, { hosts: answer.hosts, expiresAt: this.clock.getNow() + answer.ttlMs })
+      this.knownAddresses = [...new Set([...answer.hosts.map((host) => host.address), ...this.knownAddresses])]
       return answer.hosts
     }
     if (cached !== undefined) return cached.hosts
@@ -43,11 +43,11 @@
   }
 
   /** Removes the cached answer for a service, so that the next `find` looks it up again. */
-  drop (service: string): void {
-    this.cached.delete(service)
+  remove (service: string): void {
+    this.cachedLookups.delete(service)
   }
 
-  private async ask (address: string, service: string, signal: AbortSignal): Promise<z.infer<typeof LookupAnswer> | undefined> {
+  private async fetchAnswer (address: string, service: string, signal: AbortSignal): Promise<z.infer<typeof LookupAnswer> | undefined> {
     try {
       const response = await request(`http://${address}/v1/lookup?service=${encodeURIComponent(service)}`, {
         dispatcher: this.dispatcher,
--- a/packages/almondrelay/src/caller/sendToHost.ts
+++ b/packages/almondrelay/src/caller/sendToHost.ts
@@ -6,7 +6,7 @@
 import type { CallerCall } from './callerCall.js'
 import type { CallerHost } from './callerHost.js'
 
-interface HostSend {
+interface SendOptions {
   call: CallerCall
   caller: string
   id: string
@@ -14,7 +14,7 @@
   host: CallerHost
   home: CallerHost
   /** Milliseconds until the deadline. */
-  leftMs: number
+  remainingMs: number
   dispatcher: Dispatcher
   signal: AbortSignal
 }
@@ -28,12 +28,12 @@
 const NOT_SENT_CODES: ReadonlySet<string> = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT'])
 
 /** Sends one request to an entry host and receives the answer. */
-export async function sendToHost (send: HostSend): Promise<SendResult> {
-  const { call, host, dispatcher, signal } = send
+export async function sendToHost (options: SendOptions): Promise<SendResult> {
+  const { call, host, dispatcher, signal } = options
   try {
     const response = await request(`http://${host.address}/s/${call.service}${call.path}`, {
       method: call.method as 'GET',
-      headers: buildHeaders(send),
+      headers: buildHeaders(options),
       body: call.body === undefined || call.body.byteLength === 0 ? null : call.body,
       dispatcher,
       signal
@@ -46,13 +46,13 @@
   }
 }
 
-function buildHeaders ({ call, caller, id, attempt, home, leftMs }: HostSend): Record<string, string> {
+function buildHeaders ({ call, caller, id, attempt, home, remainingMs: remainingMs }: SendOptions): Record<string, string> {
   const headers: Record<string, string> = {}
   for (const header of call.headers ?? []) headers[header.name] = header.value
   headers[HeaderName.id] = id
   headers[HeaderName.caller] = caller
   headers[HeaderName.attempt] = String(attempt)
-  headers[HeaderName.deadline] = String(Math.max(1, Math.floor(leftMs)))
+  headers[HeaderName.deadline] = String(Math.max(1, Math.floor(remainingMs)))
   headers[HeaderName.home] = `${home.name};${home.incarnation}`
   if (call.key !== undefined) headers[HeaderName.key] = call.key
   return headers
--- a/packages/almondrelay/src/process/configuration/configurationStore.ts
+++ b/packages/almondrelay/src/process/configuration/configurationStore.ts
@@ -34,7 +34,7 @@
 
   /** What is in force, with the resources that are declared elsewhere. */
   get view (): Configuration {
-    return this.configuration.withGiven(this.listGiven())
+    return this.configuration.withExternal(this.listGiven())
   }
 
   get given (): readonly Resource[] {
--- a/packages/almondrelay/src/process/configuration/decideWrite.ts
+++ b/packages/almondrelay/src/process/configuration/decideWrite.ts
@@ -27,7 +27,7 @@
   if (write.action === 'delete' && held === undefined) return { refusal: { outcome: 'missing', writeId } }
   const change = makeChange(write, configuration.revision + 1, writtenAt)
   const after = configuration.apply(change) as Configuration
-  const problems = write.action === 'put' ? checkResource(write.resource, after.withGiven(given)) : []
+  const problems = write.action === 'put' ? checkResource(write.resource, after.withExternal(given)) : []
   if (problems.length > 0) return { refusal: { outcome: 'rejected', writeId, problems } }
   const broken = listBrokenReferences(configuration, after)
   if (broken.length > 0) return { refusal: { outcome: 'in-use', writeId, problems: broken } }
--- a/packages/almondrelay/src/process/dispatch/requestExecutor.ts
+++ b/packages/almondrelay/src/process/dispatch/requestExecutor.ts
@@ -82,7 +82,7 @@
     const result = await this.run(attempt, grant, execution)
     const now = clock.getNow()
     regionQueue.finish(queued, result.kind === 'answered' ? now - startedAt : undefined)
-    if (result.kind === 'answered') execution.runtime.retryBudget.addServed(now)
+    if (result.kind === 'answered') execution.runtime.retryBudget.recordServed(now)
     return result
   }
 
--- a/packages/almondrelay/src/process/lookup/lookupAnswerer.ts
+++ b/packages/almondrelay/src/process/lookup/lookupAnswerer.ts
@@ -3,7 +3,7 @@
 import type { Configuration } from '../../version/configuration.js'
 import type { HostView } from '../../version/weights/hostView.js'
 import type { LookupAnswer } from '../../version/weights/lookupAnswer.js'
-import { sortByDraw } from '../../version/weights/sortByDraw.js'
+import { sortByWeightedDraw } from '../../version/weights/sortByWeightedDraw.js'
 import type { DecisionModules } from '../dispatch/decisionModules.js'
 import type { HostDirectory } from '../dispatch/hostDirectory.js'
 import type { HostIdentity } from '../dispatch/hostIdentity.js'
@@ -53,7 +53,7 @@
     if (configuration === undefined) return { kind: 'not-ready' }
     if (services.find(service) === undefined) return { kind: 'unknown-service' }
     const weights = this.findWeights(service, this.findRegion(configuration, from))
-    const hosts = sortByDraw(weights.hosts, random).slice(0, MAX_HOSTS).flatMap(({ host, weight }) => {
+    const hosts = sortByWeightedDraw(weights.hosts, random).slice(0, MAX_HOSTS).flatMap(({ host, weight }) => {
       const known = directory.find(host)
       return known === undefined || known.callerAddress === '' ? [] : [describeHost(known, weight)]
     })
--- a/packages/almondrelay/src/request/__fixtures__/decisionHost.ts
+++ b/packages/almondrelay/src/request/__fixtures__/decisionHost.ts
@@ -25,7 +25,7 @@
 
   offer (request: FakeRequest): void {
     const now = this.loop.now
-    const choice = this.chooser.choose(this.free, this.none, now, this.random)
+    const choice = this.chooser.choose(this.free, this.noExclusions, now, this.random)
     const decision = this.queue.offer(request, choice === undefined ? 0 : 1, this.chooser.capacity, now)
     if (decision.kind === 'refuse') this.emit(request, { kind: 'refused', retryAfterMs: decision.retryAfterMs })
     if (decision.kind === 'wait') this.refuse(decision.displaced)
@@ -45,7 +45,7 @@
     const now = this.loop.now
     this.refuse(this.queue.take(0, this.chooser.capacity, now).refuse)
     while (this.queue.waiting > 0) {
-      const choice = this.chooser.choose(this.free, this.none, now, this.random)
+      const choice = this.chooser.choose(this.free, this.noExclusions, now, this.random)
       if (choice === undefined) break
       const batch = this.queue.take(1, this.chooser.capacity, now)
       this.refuse(batch.refuse)
--- a/packages/almondrelay/src/request/__fixtures__/fakeTarget.ts
+++ b/packages/almondrelay/src/request/__fixtures__/fakeTarget.ts
@@ -10,7 +10,7 @@
   /** Factor by which service times are longer at first, while caches are cold; 1 for a warm target. */
   coldFactor = 1
   running = 0
-  mostRunning = 0
+  maxRunning = 0
   private answers = 0
 
   constructor (readonly name: string, readonly slots: number) {}
@@ -21,7 +21,7 @@
 
   start (): void {
     this.running += 1
-    this.mostRunning = Math.max(this.mostRunning, this.running)
+    this.maxRunning = Math.max(this.maxRunning, this.running)
   }
 
   finish (): void {
--- a/packages/almondrelay/src/request/__fixtures__/loadReport.ts
+++ b/packages/almondrelay/src/request/__fixtures__/loadReport.ts
@@ -5,7 +5,7 @@
   source: string
   kind: FakeOutcome['kind']
   arrivedAt: number
-  tookMs: number
+  durationMs: number
   isAfterDeadline: boolean
 }
 
@@ -20,7 +20,7 @@
   private readonly received: Received[] = []
 
   add (request: FakeRequest, outcome: FakeOutcome, now: number): void {
-    this.received.push({ source: request.source, kind: outcome.kind, arrivedAt: request.arrivedAt, tookMs: now - request.arrivedAt, isAfterDeadline: now > request.deadlineAt })
+    this.received.push({ source: request.source, kind: outcome.kind, arrivedAt: request.arrivedAt, durationMs: now - request.arrivedAt, isAfterDeadline: now > request.deadlineAt })
   }
 
   count (kind: FakeOutcome['kind'], selection: Selection = {}): number {
@@ -40,7 +40,7 @@
 
   /** Percentile `rank` (0 to 1) of the time from arrival to such an outcome, in milliseconds. */
   computePercentile (rank: number, selection: Selection = {}, kind: FakeOutcome['kind'] = 'answered'): number {
-    const times = this.select(kind, selection).map((each) => each.tookMs).sort((one, other) => one - other)
+    const times = this.select(kind, selection).map((each) => each.durationMs).sort((one, other) => one - other)
     return times[Math.min(times.length - 1, Math.floor(rank * times.length))] ?? 0
   }
 
--- a/packages/almondrelay/src/request/__fixtures__/loadRun.ts
+++ b/packages/almondrelay/src/request/__fixtures__/loadRun.ts
@@ -10,7 +10,7 @@
 import type { Source } from './source.js'
 
 /** Retry delay after a refusal without one, in milliseconds. */
-const PLAIN_RETRY_MS = 100
+const DEFAULT_RETRY_DELAY_MS = 100
 
 interface LoadRunOptions {
   scope: Scope
@@ -52,7 +52,7 @@
       const source = this.sources.get(request)
       this.sources.delete(request)
       if (source === undefined || outcome.kind === 'answered' || request.attempt > source.retries) return
-      const afterMs = outcome.kind === 'refused' ? outcome.retryAfterMs ?? PLAIN_RETRY_MS : 0
+      const afterMs = outcome.kind === 'refused' ? outcome.retryAfterMs ?? DEFAULT_RETRY_DELAY_MS : 0
       this.loop.schedule(now + afterMs, () => this.send(source, { ...request, attempt: request.attempt + 1 }))
     })
     this.loop.run(until)
--- a/packages/almondrelay/src/request/__fixtures__/plainHost.ts
+++ b/packages/almondrelay/src/request/__fixtures__/plainHost.ts
@@ -7,7 +7,7 @@
 /** Baseline for comparison: a bounded first-in first-out queue and round robin over all free slots. */
 export class PlainHost extends ServingHost {
   private readonly waiting: FakeRequest[] = []
-  private turn = 0
+  private lastIndex = 0
 
   offer (request: FakeRequest): void {
     if (this.waiting.length >= MAX_QUEUED) {
@@ -33,8 +33,8 @@
   private findFree (): FakeTarget | undefined {
     const targets = [...this.targets.values()]
     for (let step = 0; step < targets.length; step += 1) {
-      this.turn = (this.turn + 1) % targets.length
-      const target = targets[this.turn]
+      this.lastIndex = (this.lastIndex + 1) % targets.length
+      const target = targets[this.lastIndex]
       if (target !== undefined && target.free > 0) return target
     }
     return undefined
--- a/packages/almondrelay/src/request/__fixtures__/servingHost.ts
+++ b/packages/almondrelay/src/request/__fixtures__/servingHost.ts
@@ -8,7 +8,7 @@
 /** An entry host with the targets of one service; runs the requests that its subclass chooses. */
 export abstract class ServingHost {
   readonly targets = new Map<string, FakeTarget>()
-  protected readonly none: ReadonlySet<string> = new Set()
+  protected readonly noExclusions: ReadonlySet<string> = new Set()
   private listener: Listener = () => {}
 
   constructor (protected readonly loop: EventLoop, targets: readonly FakeTarget[]) {
--- a/packages/almondrelay/src/request/__tests__/coldMove.test.ts
+++ b/packages/almondrelay/src/request/__tests__/coldMove.test.ts
@@ -17,7 +17,7 @@
 const COLD_FACTOR = 5
 const STEP_MS = 250
 
-interface Move {
+interface MoveResult {
   warmP99: number
   p99: number
   unserved: number
@@ -26,7 +26,7 @@
 }
 
 /** Moves all work of warm targets to an equal number of idle, cold targets, either paced or at once. */
-function simulateMove (scope: Scope, kind: 'ours' | 'plain', cap: number): Move {
+function simulateMove (scope: Scope, kind: 'ours' | 'plain', cap: number): MoveResult {
   const loop = new EventLoop()
   const report = new LoadReport()
   const random = createSeededRandom(SEED)
--- a/packages/almondrelay/src/request/__tests__/hotCaller.test.ts
+++ b/packages/almondrelay/src/request/__tests__/hotCaller.test.ts
@@ -12,13 +12,13 @@
 /** Share of capacity; the hot caller or key sends the same amount, so that the sum is above capacity. */
 const USUAL_LOAD = 0.65
 
-interface Others {
+interface HotCallerResult {
   p99: number
   unserved: number
 }
 
 /** Simulates the results of the other callers, with or without a hot caller or key that sends as much as all of them together. */
-function simulateHot (scope: Scope, kind: 'ours' | 'plain', usual: Partial<Source>, hot?: Partial<Source>): Others {
+function simulateHot (scope: Scope, kind: 'ours' | 'plain', usual: Partial<Source>, hot?: Partial<Source>): HotCallerResult {
   const run = new LoadRun({ scope, kind, seed: SEED })
   const end = computeEnd(scope)
   run.addSource(makeSource(scope, USUAL_LOAD, { to: end, ...usual }), SEED)
--- a/packages/almondrelay/src/request/__tests__/overload.test.ts
+++ b/packages/almondrelay/src/request/__tests__/overload.test.ts
@@ -9,7 +9,7 @@
 const FROM = 5_000
 const END = 65_000
 
-interface Overload {
+interface OverloadResult {
   /** Answers in time, divided by the number that the slots can give. */
   goodput: number
   late: number
@@ -20,7 +20,7 @@
   sentAgain: number
 }
 
-function simulateOverload (scope: Scope, kind: 'ours' | 'plain'): Overload {
+function simulateOverload (scope: Scope, kind: 'ours' | 'plain'): OverloadResult {
   const run = new LoadRun({ scope, kind, seed: SEED })
   run.addSource(makeSource(scope, 2, { from: FROM, to: END, retries: 3, callers: 200 }), SEED)
   const report = run.run(END + 15_000)
--- a/packages/almondrelay/src/request/__tests__/slowTarget.test.ts
+++ b/packages/almondrelay/src/request/__tests__/slowTarget.test.ts
@@ -11,9 +11,9 @@
 const FAULT_AT = 5_000
 /** End in virtual time: large sizes get enough requests in less time. */
 const computeEnd = ({ targets, slots }: Scope): number => targets * slots > 36 ? 9_000 : 30_000
-const REPORT_EVERY_MS = 1_000
+const REPORT_INTERVAL_MS = 1_000
 
-interface Goodput {
+interface FaultResult {
   /** Answers in time after the fault, divided by the number that the healthy targets can give or callers ask for. */
   goodput: number
   late: number
@@ -26,7 +26,7 @@
  * Simulates a fault of one target at `load` times the capacity of the healthy targets; above that capacity, only the
  * decisions limit goodput.
  */
-function simulateFault (scope: Scope, kind: 'ours' | 'plain', load: number, inject: Fault): Goodput {
+function simulateFault (scope: Scope, kind: 'ours' | 'plain', load: number, inject: Fault): FaultResult {
   const run = new LoadRun({ scope, kind, seed: SEED })
   const end = computeEnd(scope)
   const healthy = (scope.targets - 1) / scope.targets
@@ -46,7 +46,7 @@
 const reportAlways = (run: LoadRun, target: FakeTarget, load: number): void => {
   if (run.loop.now > 30_000) return
   if (run.host instanceof DecisionHost) run.host.chooser.report(target.name, { load, leaving: false, healthy: true }, run.loop.now)
-  run.loop.schedule(run.loop.now + REPORT_EVERY_MS, () => reportAlways(run, target, load))
+  run.loop.schedule(run.loop.now + REPORT_INTERVAL_MS, () => reportAlways(run, target, load))
 }
 
 const faults: Record<string, Fault> = {
--- a/packages/almondrelay/src/request/admission/admissionQueue.ts
+++ b/packages/almondrelay/src/request/admission/admissionQueue.ts
@@ -16,9 +16,9 @@
 /** Waiting requests are shed when a loss of capacity leaves the backlog at more than this many times its limit. */
 const SHED_FACTOR = 2
 /** A request is refused once it has waited this many times the limit on the wait of its lane. */
-const PATIENCE_FACTOR = 1.5
+const MAX_WAIT_FACTOR = 1.5
 /** Delay before an overtaken request that may not start yet is checked again, in multiples of its expected cost. */
-const PASSED_BY_CHECK_JOBS = 2
+const OVERTAKEN_CHECK_FACTOR = 2
 
 /**
  * Decides, for one service at one host, which requests are served, wait or are refused.
@@ -84,7 +84,7 @@
     if (capacity <= 0 && freeSlots <= 0) return this.refuse(entry, RefusalReason.noTarget, capacity, now)
     if (now + entry.costMs > request.deadlineAt) return this.refuse(entry, RefusalReason.deadlineUnreachable, capacity, now)
     if (freeSlots > 0 && this.backlog.isNext(entry, capacity, now)) {
-      this.backlog.getLane(entry).touch(request.caller, entry.costMs)
+      this.backlog.getLane(entry).chargeCaller(request.caller, entry.costMs)
       this.begin(entry)
       return { kind: 'start' }
     }
@@ -125,13 +125,13 @@
     this.started.delete(request.id)
     if (entry.isLong) this.backlog.runningLong -= 1
     if (serviceTimeMs === undefined) return
-    this.backlog.getLane(entry).update(request.caller, serviceTimeMs - entry.costMs)
-    this.costs.learn(request.route, serviceTimeMs)
+    this.backlog.getLane(entry).updateCharge(request.caller, serviceTimeMs - entry.costMs)
+    this.costs.recordServiceTime(request.route, serviceTimeMs)
   }
 
   /** Time by which `take` must be called even if no request ends; undefined while no request waits. */
   computeNextCheckAt (now: number): number | undefined {
-    const latestStart = this.entries.findNextStart()
+    const latestStart = this.entries.findNextLatestStart()
     return latestStart === undefined ? undefined : Math.max(now, latestStart)
   }
 
@@ -159,13 +159,13 @@
     const lane = this.backlog.getLane(entry)
     const displaced: AdmissionRefusal[] = []
     for (;;) {
-      const isOverPart = this.backlog.isOverPart(entry, capacity, now)
-      if (!isOverPart && !this.backlog.isFull(entry, capacity, now)) break
-      const victim = this.backlog.dropHottest(entry, isOverPart)
-      if (victim === undefined && displaced.length > 0) break
-      if (victim === undefined) return this.refuse(entry, isOverPart ? RefusalReason.overFairShare : this.backlog.explainFull(entry), capacity, now)
-      this.entries.remove(victim)
-      displaced.push(this.buildRefusal(victim, RefusalReason.overFairShare, capacity, now))
+      const isOverFairShare = this.backlog.isOverFairShare(entry, capacity, now)
+      if (!isOverFairShare && !this.backlog.isFull(entry, capacity, now)) break
+      const displacedEntry = this.backlog.dropHottest(entry, isOverFairShare)
+      if (displacedEntry === undefined && displaced.length > 0) break
+      if (displacedEntry === undefined) return this.refuse(entry, isOverFairShare ? RefusalReason.overFairShare : this.backlog.explainFull(entry), capacity, now)
+      this.entries.remove(displacedEntry)
+      displaced.push(this.buildRefusal(displacedEntry, RefusalReason.overFairShare, capacity, now))
     }
     lane.push(entry)
     this.entries.add(entry, this.computeLatestStart(entry, now), now + entry.costMs)
@@ -177,14 +177,14 @@
    * that keeps being overtaken is refused early instead of being held.
    */
   private computeLatestStart (entry: WaitingRequest, now: number): number {
-    const bound = entry.isLong ? this.backlog.limitBacklog(true, entry.costMs, now) : this.options.maxWaitMs
-    const patienceMs = PATIENCE_FACTOR * bound
-    return Math.max(now, Math.min(entry.request.deadlineAt - entry.tailMs, now + patienceMs))
+    const limitMs = entry.isLong ? this.backlog.computeWaitLimit(true, entry.costMs, now) : this.options.maxWaitMs
+    const maxWaitMs = MAX_WAIT_FACTOR * limitMs
+    return Math.max(now, Math.min(entry.request.deadlineAt - entry.tailMs, now + maxWaitMs))
   }
 
   private takeNext (capacity: number, now: number): WaitingRequest | undefined {
     const longMayStart = this.backlog.allowLong(capacity, now)
-    const entry = this.takePassedBy(longMayStart, capacity, now) ?? (longMayStart ? this.backlog.long.take() : undefined) ?? this.backlog.short.take()
+    const entry = this.takeOvertaken(longMayStart, capacity, now) ?? (longMayStart ? this.backlog.long.take() : undefined) ?? this.backlog.short.take()
     if (entry === undefined) return undefined
     this.entries.remove(entry)
     this.begin(entry)
@@ -198,11 +198,11 @@
    * above its fair share keeps its regular turn, because its backlog would otherwise be served before
    * the requests of the others.
    */
-  private takePassedBy (longMayStart: boolean, capacity: number, now: number): WaitingRequest | undefined {
-    for (let entry = this.entries.findPassedBy(now); entry !== undefined; entry = this.entries.findPassedBy(now)) {
+  private takeOvertaken (longMayStart: boolean, capacity: number, now: number): WaitingRequest | undefined {
+    for (let entry = this.entries.findOvertaken(now); entry !== undefined; entry = this.entries.findOvertaken(now)) {
       const mayStart = !entry.isLong || longMayStart
-      if (!mayStart || !this.backlog.isWithinPart(entry, capacity, now)) {
-        this.entries.schedule(entry, now + PASSED_BY_CHECK_JOBS * entry.costMs)
+      if (!mayStart || !this.backlog.isWithinFairShare(entry, capacity, now)) {
+        this.entries.schedule(entry, now + OVERTAKEN_CHECK_FACTOR * entry.costMs)
         continue
       }
       this.backlog.getLane(entry).takeEntry(entry)
@@ -234,9 +234,9 @@
     for (const lane of [this.backlog.short, this.backlog.long]) {
       const isLong = lane === this.backlog.long
       const slots = this.backlog.countLaneSlots(isLong, Math.max(capacity, 1), now)
-      const mean = lane.count === 0 ? 0 : lane.waitingCostMs / lane.count
-      const bound = SHED_FACTOR * this.backlog.limitBacklog(isLong, mean, now) * slots
-      while (lane.count > 1 && lane.waitingCostMs > bound) {
+      const meanCostMs = lane.count === 0 ? 0 : lane.waitingCostMs / lane.count
+      const limitMs = SHED_FACTOR * this.backlog.computeWaitLimit(isLong, meanCostMs, now) * slots
+      while (lane.count > 1 && lane.waitingCostMs > limitMs) {
         const flow = lane.findHottest()
         const entry = flow === undefined ? undefined : lane.dropLatest(flow)
         if (entry === undefined) break
--- a/packages/almondrelay/src/request/admission/backlog.ts
+++ b/packages/almondrelay/src/request/admission/backlog.ts
@@ -6,11 +6,11 @@
 import type { WaitingRequest } from './waitingRequest.js'
 
 /** A caller or key with at most this many waiting requests counts as within its fair share of the backlog. */
-const FEW_REQUESTS = 4
+const MIN_FAIR_REQUESTS = 4
 /** Minimum number of shares into which the backlog is divided, so that one hot caller among few does not get half of it. */
-const MIN_PARTS = 8
+const MIN_SHARES = 8
 /** Share of the backlog's limit above which each caller is held to its fair share. */
-const CROWDED_PART = 0.5
+const CROWDED_SHARE = 0.5
 /**
  * A request of the hottest caller is displaced only if that caller has this many times the
  * waiting work of the new request's caller. Between callers with similar backlogs, displacing
@@ -18,11 +18,11 @@
  */
 const DISPLACE_FACTOR = 4
 /** A caller with more than this share of the backlog is hot, and the lower `HOT_FACTOR` applies to it. */
-const HOT_PART = 0.25
+const HOT_SHARE = 0.25
 /** A hot caller with this many times the waiting work of another caller makes room for it. */
-const NEAR_FACTOR = 2
+const HOT_FACTOR = 2
 /** Limit of the backlog of long work, in long jobs for each slot. */
-const LONG_BACKLOG_JOBS = 8
+const MAX_LONG_BACKLOG_JOBS = 8
 
 /**
  * The waiting requests, in one lane for short and one for long work, and the limits on their amount.
@@ -35,11 +35,11 @@
   readonly long = new FairLane()
   /** Number of running long requests. */
   runningLong = 0
-  private readonly demand = new ShortDemand()
-  private readonly bound: BacklogBound
+  private readonly shortDemand = new ShortDemand()
+  private readonly shortLimit: BacklogBound
 
   constructor (private readonly options: AdmissionOptions) {
-    this.bound = new BacklogBound(options.maxWaitMs)
+    this.shortLimit = new BacklogBound(options.maxWaitMs)
   }
 
   get count (): number {
@@ -48,14 +48,14 @@
 
   /** Records the arrival of a request, whatever is decided on it. */
   observe (entry: WaitingRequest, capacity: number, now: number): void {
-    if (!entry.isLong) this.demand.add(entry.costMs, now)
-    const spreadMs = this.short.waitingCostMs - (this.short.findHottest()?.waitingCostMs ?? 0)
-    this.bound.observe(spreadMs / this.countLaneSlots(false, Math.max(capacity, 1), now), now)
+    if (!entry.isLong) this.shortDemand.add(entry.costMs, now)
+    const otherWorkMs = this.short.waitingCostMs - (this.short.findHottest()?.waitingCostMs ?? 0)
+    this.shortLimit.observe(otherWorkMs / this.countLaneSlots(false, Math.max(capacity, 1), now), now)
   }
 
   /** Whether long work may use one more slot. */
   allowLong (capacity: number, now: number): boolean {
-    return this.runningLong < this.demand.limitLong(capacity, now)
+    return this.runningLong < this.shortDemand.computeLongLimit(capacity, now)
   }
 
   getLane (entry: WaitingRequest): FairLane {
@@ -73,15 +73,15 @@
   /** Expected wait of the entry, in milliseconds, if it is queued. */
   estimateWait (entry: WaitingRequest, capacity: number, now: number): number {
     const lane = this.getLane(entry)
-    const own = lane.estimateWaiting(entry.request.caller) + entry.costMs
-    const callers = lane.waitingCallers + (own > entry.costMs ? 0 : 1)
-    const aheadMs = Math.min(lane.waitingCostMs + entry.costMs, own * callers)
+    const ownWorkMs = lane.estimateWaiting(entry.request.caller) + entry.costMs
+    const callerCount = lane.waitingCallers + (ownWorkMs > entry.costMs ? 0 : 1)
+    const aheadMs = Math.min(lane.waitingCostMs + entry.costMs, ownWorkMs * callerCount)
     return aheadMs / this.countLaneSlots(entry.isLong, capacity, now)
   }
 
   /** Number of slots that serve the lane; at least one. */
   countLaneSlots (isLong: boolean, capacity: number, now: number): number {
-    if (isLong) return Math.min(capacity, this.demand.limitLong(capacity, now))
+    if (isLong) return Math.min(capacity, this.shortDemand.computeLongLimit(capacity, now))
     return Math.max(1, capacity - this.runningLong)
   }
 
@@ -90,21 +90,21 @@
    * backlog. If its request were queued, requests of callers with less waiting work would
    * overtake it, and it would be refused after a wait.
    */
-  isOverPart (entry: WaitingRequest, capacity: number, now: number): boolean {
+  isOverFairShare (entry: WaitingRequest, capacity: number, now: number): boolean {
     const lane = this.getLane(entry)
     const { caller, key } = entry.request
     const flow = lane.findFlow(caller)
-    const bound = this.limitLaneWork(entry, capacity, now)
-    if (flow === undefined || lane.waitingCostMs < CROWDED_PART * bound) return false
-    const callerPart = bound / lane.knownCallers
-    const lead = lane.estimateLead(caller)
-    const most = lane.findHottest()?.waitingCostMs ?? 0
-    const isOneHot = most > HOT_PART * bound && most > NEAR_FACTOR * lead
-    if (lead === 0 || isOneHot) return false
-    if (lead + entry.costMs > callerPart) return true
-    const own = flow.estimateKeyWaiting(key)
-    if (flow.waitingKeys < 2 || own === 0 || own * NEAR_FACTOR < flow.estimateLongestKey() || flow.waitingCostMs < CROWDED_PART * callerPart) return false
-    return (own + entry.costMs) * flow.waitingKeys > callerPart
+    const limitMs = this.computeLaneLimit(entry, capacity, now)
+    if (flow === undefined || lane.waitingCostMs < CROWDED_SHARE * limitMs) return false
+    const callerShareMs = limitMs / lane.knownCallers
+    const leadMs = lane.estimateLead(caller)
+    const hottestWorkMs = lane.findHottest()?.waitingCostMs ?? 0
+    const isOtherHot = hottestWorkMs > HOT_SHARE * limitMs && hottestWorkMs > HOT_FACTOR * leadMs
+    if (leadMs === 0 || isOtherHot) return false
+    if (leadMs + entry.costMs > callerShareMs) return true
+    const keyWorkMs = flow.estimateKeyWaiting(key)
+    if (flow.waitingKeys < 2 || keyWorkMs === 0 || keyWorkMs * HOT_FACTOR < flow.estimateMaxKeyWaiting() || flow.waitingCostMs < CROWDED_SHARE * callerShareMs) return false
+    return (keyWorkMs + entry.costMs) * flow.waitingKeys > callerShareMs
   }
 
   /** Whether the entry would take its lane's backlog above its limit. */
@@ -112,20 +112,20 @@
     if (this.count >= this.options.maxQueued) return true
     const slots = this.countLaneSlots(entry.isLong, capacity, now)
     const lane = this.getLane(entry)
-    return lane.count > 0 && (lane.waitingCostMs + entry.costMs) / slots > this.limitBacklog(entry.isLong, entry.costMs, now)
+    return lane.count > 0 && (lane.waitingCostMs + entry.costMs) / slots > this.computeWaitLimit(entry.isLong, entry.costMs, now)
   }
 
   /** Limit of the waiting work in the entry's lane, in milliseconds of one slot. */
-  limitLaneWork (entry: WaitingRequest, capacity: number, now: number): number {
+  computeLaneLimit (entry: WaitingRequest, capacity: number, now: number): number {
     const lane = this.getLane(entry)
-    const byTime = this.limitBacklog(entry.isLong, entry.costMs, now) * this.countLaneSlots(entry.isLong, capacity, now)
-    const byCount = this.options.maxQueued * (lane.count === 0 ? entry.costMs : lane.waitingCostMs / lane.count)
-    return Math.min(byTime, byCount)
+    const timeLimitMs = this.computeWaitLimit(entry.isLong, entry.costMs, now) * this.countLaneSlots(entry.isLong, capacity, now)
+    const countLimitMs = this.options.maxQueued * (lane.count === 0 ? entry.costMs : lane.waitingCostMs / lane.count)
+    return Math.min(timeLimitMs, countLimitMs)
   }
 
   /** Limit of the wait in a lane, in milliseconds. */
-  limitBacklog (isLong: boolean, costMs: number, now: number): number {
-    return isLong ? Math.max(this.options.maxWaitMs, LONG_BACKLOG_JOBS * costMs) : this.bound.limit(costMs, now)
+  computeWaitLimit (isLong: boolean, costMs: number, now: number): number {
+    return isLong ? Math.max(this.options.maxWaitMs, MAX_LONG_BACKLOG_JOBS * costMs) : this.shortLimit.limit(costMs, now)
   }
 
   /**
@@ -133,37 +133,37 @@
    * entry's own caller is over its fair share, of that caller's key with the most; undefined if
    * that caller or key does not have clearly more waiting work than the entry's.
    */
-  dropHottest (entry: WaitingRequest, isOverPart: boolean): WaitingRequest | undefined {
+  dropHottest (entry: WaitingRequest, isOverFairShare: boolean): WaitingRequest | undefined {
     const { caller, key } = entry.request
-    const own = this.getLane(entry)
-    const other = own === this.short ? this.long : this.short
-    const lane = own.count > 0 ? own : other
-    const flow = isOverPart ? lane.findFlow(caller) : lane.findHottest()
+    const ownLane = this.getLane(entry)
+    const otherLane = ownLane === this.short ? this.long : this.short
+    const lane = ownLane.count > 0 ? ownLane : otherLane
+    const flow = isOverFairShare ? lane.findFlow(caller) : lane.findHottest()
     if (flow === undefined) return undefined
     const isOwnFlow = flow.caller === caller
-    const most = isOwnFlow ? flow.estimateLongestKey() : flow.waitingCostMs
-    const less = entry.costMs + (isOwnFlow ? flow.estimateKeyWaiting(key) : lane.estimateWaiting(caller))
-    const factor = most > HOT_PART * lane.waitingCostMs ? NEAR_FACTOR : DISPLACE_FACTOR
-    if (most < factor * less) return undefined
+    const largestWorkMs = isOwnFlow ? flow.estimateMaxKeyWaiting() : flow.waitingCostMs
+    const newWorkMs = entry.costMs + (isOwnFlow ? flow.estimateKeyWaiting(key) : lane.estimateWaiting(caller))
+    const factor = largestWorkMs > HOT_SHARE * lane.waitingCostMs ? HOT_FACTOR : DISPLACE_FACTOR
+    if (largestWorkMs < factor * newWorkMs) return undefined
     return lane.dropLatest(flow)
   }
 
   /** Reason for refusing the entry where the backlog is full. */
   explainFull (entry: WaitingRequest): RefusalReason {
     const lane = this.getLane(entry)
-    const fairPart = lane.waitingCostMs / Math.max(1, lane.waitingCallers)
-    const own = lane.estimateWaiting(entry.request.caller)
-    return lane.waitingCallers > 1 && own >= fairPart ? RefusalReason.overFairShare : RefusalReason.queueFull
+    const fairShareMs = lane.waitingCostMs / Math.max(1, lane.waitingCallers)
+    const ownWorkMs = lane.estimateWaiting(entry.request.caller)
+    return lane.waitingCallers > 1 && ownWorkMs >= fairShareMs ? RefusalReason.overFairShare : RefusalReason.queueFull
   }
 
   /** Whether the caller and the key have at most their fair share of the waiting work. */
-  isWithinPart (entry: WaitingRequest, capacity: number, now: number): boolean {
+  isWithinFairShare (entry: WaitingRequest, capacity: number, now: number): boolean {
     const lane = this.getLane(entry)
     const flow = lane.findFlow(entry.request.caller)
     if (flow === undefined) return false
-    const few = FEW_REQUESTS * entry.costMs
-    const callerPart = Math.max(few, this.limitLaneWork(entry, capacity, now) / Math.max(MIN_PARTS, lane.knownCallers))
-    const keyPart = Math.max(few, callerPart / Math.max(MIN_PARTS, flow.waitingKeys))
-    return flow.waitingCostMs <= callerPart && flow.estimateKeyWaiting(entry.request.key) <= keyPart
+    const minShareMs = MIN_FAIR_REQUESTS * entry.costMs
+    const callerShareMs = Math.max(minShareMs, this.computeLaneLimit(entry, capacity, now) / Math.max(MIN_SHARES, lane.knownCallers))
+    const keyShareMs = Math.max(minShareMs, callerShareMs / Math.max(MIN_SHARES, flow.waitingKeys))
+    return flow.waitingCostMs <= callerShareMs && flow.estimateKeyWaiting(entry.request.key) <= keyShareMs
   }
 }
--- a/packages/almondrelay/src/request/admission/backlogBound.ts
+++ b/packages/almondrelay/src/request/admission/backlogBound.ts
@@ -1,10 +1,10 @@
 /** A backlog that has not fallen below this share of its limit is a standing backlog. */
-const STANDING_PART = 0.1
+const STANDING_SHARE = 0.1
 /** Longest burst during which the full limit applies, in milliseconds. */
-const BURST_MS = 2_000
+const MAX_BURST_MS = 2_000
 /** Share of the limit that applies to a standing backlog, and the minimum in jobs for each slot. */
-const STANDING_BOUND_PART = 0.3
-const STANDING_MIN_JOBS = 4
+const STANDING_LIMIT_SHARE = 0.3
+const MIN_STANDING_JOBS = 4
 
 /**
  * Limit of a backlog, in milliseconds of wait.
@@ -20,13 +20,13 @@
 
   /** `backlogMs`: the backlog without the work of the hottest caller, which delays only that caller's own requests. */
   observe (backlogMs: number, now: number): void {
-    if (backlogMs < STANDING_PART * this.maxWaitMs) this.standingSince = undefined
+    if (backlogMs < STANDING_SHARE * this.maxWaitMs) this.standingSince = undefined
     else this.standingSince ??= now
   }
 
   limit (costMs: number, now: number): number {
-    const isStanding = this.standingSince !== undefined && now - this.standingSince > BURST_MS
+    const isStanding = this.standingSince !== undefined && now - this.standingSince > MAX_BURST_MS
     if (!isStanding) return this.maxWaitMs
-    return Math.min(this.maxWaitMs, Math.max(STANDING_BOUND_PART * this.maxWaitMs, STANDING_MIN_JOBS * costMs))
+    return Math.min(this.maxWaitMs, Math.max(STANDING_LIMIT_SHARE * this.maxWaitMs, MIN_STANDING_JOBS * costMs))
   }
 }
--- a/packages/almondrelay/src/request/admission/fairFlow.ts
+++ b/packages/almondrelay/src/request/admission/fairFlow.ts
@@ -4,7 +4,7 @@
 interface KeyQueue {
   name: string
   /** Start tag of fair queueing: the virtual time at which the key's next request may start. */
-  tag: number
+  startTag: number
   /** Waiting requests in order of arrival. */
   waiting: WaitingRequest[]
   /** Expected cost of the waiting requests, in milliseconds of one slot. */
@@ -14,25 +14,25 @@
 /** One caller's waiting requests in a lane, with start-time fair queueing among the caller's keys. */
 export class FairFlow {
   /** Start tag: the virtual time of the lane at which the caller's next request may start. */
-  tag = 0
+  startTag = 0
   /** Expected cost of the waiting requests, in milliseconds of one slot. */
   waitingCostMs = 0
   count = 0
   private readonly keys = new Map<string, KeyQueue>()
-  private readonly longest = new IndexedHeap<KeyQueue>()
-  private readonly order = new IndexedHeap<KeyQueue>()
+  private readonly keysByWork = new IndexedHeap<KeyQueue>()
+  private readonly keysByTag = new IndexedHeap<KeyQueue>()
   private virtualTime = 0
 
   constructor (readonly caller: string) {}
 
   push (entry: WaitingRequest): void {
     const name = entry.request.key
-    const queue = this.keys.get(name) ?? { name, tag: this.virtualTime, waiting: [], waitingCostMs: 0 }
+    const queue = this.keys.get(name) ?? { name, startTag: this.virtualTime, waiting: [], waitingCostMs: 0 }
     queue.waiting.push(entry)
     this.keys.set(name, queue)
-    if (!this.order.has(queue)) this.order.set(queue, Math.max(queue.tag, this.virtualTime))
+    if (!this.keysByTag.has(queue)) this.keysByTag.set(queue, Math.max(queue.startTag, this.virtualTime))
     queue.waitingCostMs += entry.costMs
-    this.longest.set(queue, -queue.waitingCostMs)
+    this.keysByWork.set(queue, -queue.waitingCostMs)
     this.waitingCostMs += entry.costMs
     this.count += 1
   }
@@ -48,17 +48,17 @@
   }
 
   /** Waiting work of the key that has the most, in milliseconds of one slot. */
-  estimateLongestKey (): number {
-    return this.longest.find()?.waitingCostMs ?? 0
+  estimateMaxKeyWaiting (): number {
+    return this.keysByWork.find()?.waitingCostMs ?? 0
   }
 
   /** Removes and returns the next request of the key with the lowest start tag. */
   take (): WaitingRequest | undefined {
-    const queue = this.order.find()
+    const queue = this.keysByTag.find()
     const entry = queue?.waiting.shift()
     if (queue === undefined || entry === undefined) return undefined
-    this.virtualTime = this.order.findPriority() ?? this.virtualTime
-    queue.tag = this.virtualTime + entry.costMs
+    this.virtualTime = this.keysByTag.findPriority() ?? this.virtualTime
+    queue.startTag = this.virtualTime + entry.costMs
     this.subtract(entry, queue)
     this.reconcileOrder(queue)
     return entry
@@ -66,7 +66,7 @@
 
   /** Removes and returns the latest request of the key with the most waiting work. */
   dropLatest (): WaitingRequest | undefined {
-    const longest = this.longest.find()
+    const longest = this.keysByWork.find()
     const entry = longest?.waiting.pop()
     if (longest === undefined || entry === undefined) return undefined
     this.subtract(entry, longest)
@@ -93,12 +93,12 @@
   /** Removes a key without waiting requests, so that memory is bounded by the waiting requests and not by the keys that callers invent. */
   private reconcileOrder (queue: KeyQueue): void {
     if (queue.waiting.length > 0) {
-      this.order.set(queue, queue.tag)
-      this.longest.set(queue, -queue.waitingCostMs)
+      this.keysByTag.set(queue, queue.startTag)
+      this.keysByWork.set(queue, -queue.waitingCostMs)
       return
     }
-    this.order.remove(queue)
-    this.longest.remove(queue)
+    this.keysByTag.remove(queue)
+    this.keysByWork.remove(queue)
     this.keys.delete(queue.name)
   }
 }
--- a/packages/almondrelay/src/request/admission/fairLane.ts
+++ b/packages/almondrelay/src/request/admission/fairLane.ts
@@ -3,7 +3,7 @@
 import type { WaitingRequest } from './waitingRequest.js'
 
 /** Maximum number of callers without waiting requests whose recent usage is kept. */
-const MAX_REMEMBERED = 10_000
+const MAX_IDLE_CALLERS = 10_000
 
 /**
  * Start-time fair queueing among callers, weighted by expected cost.
@@ -19,15 +19,15 @@
   waitingCostMs = 0
   count = 0
   private readonly flows = new Map<string, FairFlow>()
-  private readonly order = new IndexedHeap<FairFlow>()
-  private readonly hottest = new IndexedHeap<FairFlow>()
+  private readonly callersByTag = new IndexedHeap<FairFlow>()
+  private readonly callersByWork = new IndexedHeap<FairFlow>()
   /** Callers without waiting requests whose start tag is still ahead of the virtual time. */
-  private readonly ahead = new IndexedHeap<FairFlow>()
+  private readonly idleCallers = new IndexedHeap<FairFlow>()
   private virtualTime = 0
 
   /** Number of callers with waiting requests. */
   get waitingCallers (): number {
-    return this.order.size
+    return this.callersByTag.size
   }
 
   get knownCallers (): number {
@@ -40,12 +40,12 @@
     flow.push(entry)
     this.count += 1
     this.waitingCostMs += entry.costMs
-    this.ahead.remove(flow)
+    this.idleCallers.remove(flow)
     this.reconcile(flow)
   }
 
   /** Charges a caller for a slot used by a request that did not wait. */
-  touch (caller: string, costMs: number): void {
+  chargeCaller (caller: string, costMs: number): void {
     if (this.count === 0) return
     const flow = this.flows.get(caller) ?? this.addFlow(caller)
     this.charge(flow, costMs)
@@ -53,22 +53,22 @@
   }
 
   /** Corrects a caller's start tag once the true cost is known; a caller without waiting requests is not charged for a single long answer. */
-  update (caller: string, differenceMs: number): void {
+  updateCharge (caller: string, differenceMs: number): void {
     const flow = this.flows.get(caller)
     if (flow === undefined || flow.count === 0) return
-    flow.tag += differenceMs
+    flow.startTag += differenceMs
     this.reconcile(flow)
   }
 
   take (): WaitingRequest | undefined {
-    const flow = this.order.find()
+    const flow = this.callersByTag.find()
     const entry = flow?.take()
     if (flow === undefined || entry === undefined) return undefined
-    this.virtualTime = Math.max(this.virtualTime, flow.tag)
+    this.virtualTime = Math.max(this.virtualTime, flow.startTag)
     this.charge(flow, entry.costMs)
     this.subtract(entry)
     this.reconcile(flow)
-    this.pruneBehind()
+    this.pruneExpired()
     return entry
   }
 
@@ -91,7 +91,7 @@
 
   /** The caller with the most waiting work, in milliseconds of one slot. */
   findHottest (): FairFlow | undefined {
-    return this.hottest.find()
+    return this.callersByWork.find()
   }
 
   /** Removes and returns the latest request of the caller's key with the most waiting work. */
@@ -115,18 +115,18 @@
   /** Work by which a caller is ahead of the virtual time, in milliseconds of one slot: its waiting requests and its recent usage. */
   estimateLead (caller: string): number {
     const flow = this.flows.get(caller)
-    return flow === undefined ? 0 : flow.waitingCostMs + Math.max(0, flow.tag - this.virtualTime)
+    return flow === undefined ? 0 : flow.waitingCostMs + Math.max(0, flow.startTag - this.virtualTime)
   }
 
   private addFlow (caller: string): FairFlow {
     const flow = new FairFlow(caller)
-    flow.tag = this.virtualTime
+    flow.startTag = this.virtualTime
     this.flows.set(caller, flow)
     return flow
   }
 
   private charge (flow: FairFlow, costMs: number): void {
-    flow.tag = Math.max(flow.tag, this.virtualTime) + costMs
+    flow.startTag = Math.max(flow.startTag, this.virtualTime) + costMs
   }
 
   private subtract (entry: WaitingRequest): void {
@@ -136,25 +136,25 @@
 
   private reconcile (flow: FairFlow): void {
     if (flow.count > 0) {
-      this.order.set(flow, flow.tag)
-      this.hottest.set(flow, -flow.waitingCostMs)
+      this.callersByTag.set(flow, flow.startTag)
+      this.callersByWork.set(flow, -flow.waitingCostMs)
       return
     }
-    this.order.remove(flow)
-    this.hottest.remove(flow)
-    this.ahead.set(flow, flow.tag)
-    if (this.count === 0 || this.ahead.size > MAX_REMEMBERED) this.pruneAhead()
+    this.callersByTag.remove(flow)
+    this.callersByWork.remove(flow)
+    this.idleCallers.set(flow, flow.startTag)
+    if (this.count === 0 || this.idleCallers.size > MAX_IDLE_CALLERS) this.pruneIdle()
   }
 
   /** Removes callers whose start tag is not ahead of the virtual time; they are treated like new ones. */
-  private pruneBehind (): void {
-    while ((this.ahead.findPriority() ?? Infinity) <= this.virtualTime) this.removeFlow(this.ahead.take())
+  private pruneExpired (): void {
+    while ((this.idleCallers.findPriority() ?? Infinity) <= this.virtualTime) this.removeFlow(this.idleCallers.take())
   }
 
   /** Bounds the number of idle callers; without waiting requests there is no contention, and no usage has to be kept. */
-  private pruneAhead (): void {
-    const kept = this.count === 0 ? 0 : MAX_REMEMBERED
-    while (this.ahead.size > kept) this.removeFlow(this.ahead.take())
+  private pruneIdle (): void {
+    const maxIdle = this.count === 0 ? 0 : MAX_IDLE_CALLERS
+    while (this.idleCallers.size > maxIdle) this.removeFlow(this.idleCallers.take())
   }
 
   private removeFlow (flow: FairFlow | undefined): void {
--- a/packages/almondrelay/src/request/admission/retryAfterSpreader.ts
+++ b/packages/almondrelay/src/request/admission/retryAfterSpreader.ts
@@ -5,7 +5,7 @@
 /** Minimum delay: a round trip over a link between regions, 2 x 55 ms. */
 const MIN_RETRY_AFTER_MS = 110
 /** Delay where the backlog does not drain, because no target of the service can be used. */
-const IDLE_RETRY_AFTER_MS = 1_000
+const NO_CAPACITY_RETRY_AFTER_MS = 1_000
 
 /**
  * Computes the delay after which refused callers should retry.
@@ -18,16 +18,16 @@
  */
 export class RetryAfterSpreader {
   /** Time needed to serve the refused requests that have not been retried yet, in milliseconds. */
-  private bookedMs = 0
+  private pendingRetryMs = 0
   private advancedAt = 0
 
   /** `backlogMs`: milliseconds until the waiting requests are drained. */
   compute (costMs: number, backlogMs: number, capacity: number, now: number, random: Random): number {
-    this.bookedMs = Math.max(0, this.bookedMs - Math.max(0, now - this.advancedAt))
+    this.pendingRetryMs = Math.max(0, this.pendingRetryMs - Math.max(0, now - this.advancedAt))
     this.advancedAt = now
-    if (capacity <= 0) return Math.round(IDLE_RETRY_AFTER_MS * (1 + random()))
-    this.bookedMs = Math.min(MAX_RETRY_AFTER_MS, this.bookedMs + costMs / capacity)
-    const spreadMs = Math.max(this.bookedMs, MIN_RETRY_AFTER_MS)
+    if (capacity <= 0) return Math.round(NO_CAPACITY_RETRY_AFTER_MS * (1 + random()))
+    this.pendingRetryMs = Math.min(MAX_RETRY_AFTER_MS, this.pendingRetryMs + costMs / capacity)
+    const spreadMs = Math.max(this.pendingRetryMs, MIN_RETRY_AFTER_MS)
     const waitMs = Math.max(backlogMs, MIN_RETRY_AFTER_MS) + spreadMs * random()
     return Math.round(Math.min(MAX_RETRY_AFTER_MS * (1 + random()), waitMs))
   }
--- a/packages/almondrelay/src/request/admission/routeCosts.ts
+++ b/packages/almondrelay/src/request/admission/routeCosts.ts
@@ -28,10 +28,10 @@
  */
 export class RouteCosts {
   private readonly routes = new Map<string, RouteCost>()
-  private typicalLog: number
+  private logTypicalCost: number
 
   constructor (private readonly initialCostMs: number) {
-    this.typicalLog = Math.log(initialCostMs)
+    this.logTypicalCost = Math.log(initialCostMs)
   }
 
   /** Expected cost of one request of the route, in milliseconds of one slot. */
@@ -52,7 +52,7 @@
   }
 
   estimateTypical (): number {
-    return Math.exp(this.typicalLog)
+    return Math.exp(this.logTypicalCost)
   }
 
   isLong (route: string): boolean {
@@ -60,7 +60,7 @@
     return cost !== undefined && cost.meanMs > LONG_FACTOR * this.estimateTypical()
   }
 
-  learn (route: string, serviceTimeMs: number): void {
+  recordServiceTime (route: string, serviceTimeMs: number): void {
     const observed = Math.max(serviceTimeMs, 0.01)
     const isFirst = this.routes.size === 0
     const cost = this.routes.get(route) ?? { meanMs: observed, deviationMs: observed / 2, answers: 0 }
@@ -71,7 +71,7 @@
     const error = observed - cost.meanMs
     cost.meanMs += weight * error
     cost.deviationMs += weight * (Math.abs(error) - cost.deviationMs)
-    this.typicalLog = isFirst ? Math.log(observed) : this.typicalLog + TYPICAL_WEIGHT * (Math.log(observed) - this.typicalLog)
+    this.logTypicalCost = isFirst ? Math.log(observed) : this.logTypicalCost + TYPICAL_WEIGHT * (Math.log(observed) - this.logTypicalCost)
     this.prune()
   }
 
--- a/packages/almondrelay/src/request/admission/shortDemand.ts
+++ b/packages/almondrelay/src/request/admission/shortDemand.ts
@@ -6,7 +6,7 @@
  */
 const SPARE_FACTOR = 0.5
 /** Share of the slots that long work may always use, so that a large amount of short work can't starve it. */
-const LONG_MIN_SHARE = 0.25
+const MIN_LONG_SHARE = 0.25
 
 /**
  * Estimates the number of slots that short work needs from the arriving requests.
@@ -26,13 +26,13 @@
   }
 
   /** Maximum number of the `capacity` slots that long work may use at once; at least one. */
-  limitLong (capacity: number, now: number): number {
+  computeLongLimit (capacity: number, now: number): number {
     this.advance(now)
     const demand = this.workMs / AVERAGING_MS
-    const longMin = Math.max(1, Math.floor(capacity * LONG_MIN_SHARE))
-    if (demand < 0.01) return Math.max(longMin, capacity)
-    const kept = Math.ceil(demand + SPARE_FACTOR * Math.sqrt(demand))
-    return Math.max(longMin, capacity - kept)
+    const minLongSlots = Math.max(1, Math.floor(capacity * MIN_LONG_SHARE))
+    if (demand < 0.01) return Math.max(minLongSlots, capacity)
+    const reservedSlots = Math.ceil(demand + SPARE_FACTOR * Math.sqrt(demand))
+    return Math.max(minLongSlots, capacity - reservedSlots)
   }
 
   private advance (now: number): void {
--- a/packages/almondrelay/src/request/admission/waitingSet.ts
+++ b/packages/almondrelay/src/request/admission/waitingSet.ts
@@ -9,7 +9,7 @@
   private readonly entries = new Map<string, WaitingRequest>()
   /** Ordered by the latest time at which a request can start and still be answered in time. */
   private readonly latestStarts = new IndexedHeap<WaitingRequest>()
-  private readonly passedBy = new IndexedHeap<WaitingRequest>()
+  private readonly overtaken = new IndexedHeap<WaitingRequest>()
 
   get size (): number {
     return this.entries.size
@@ -19,8 +19,8 @@
     return this.entries.get(id)
   }
 
-  add (entry: WaitingRequest, latestStart: number, passedByAt: number): void {
-    this.passedBy.set(entry, passedByAt)
+  add (entry: WaitingRequest, latestStart: number, overtakenAt: number): void {
+    this.overtaken.set(entry, overtakenAt)
     this.entries.set(entry.request.id, entry)
     this.latestStarts.set(entry, latestStart)
   }
@@ -28,11 +28,11 @@
   remove (entry: WaitingRequest): void {
     this.entries.delete(entry.request.id)
     this.latestStarts.remove(entry)
-    this.passedBy.remove(entry)
+    this.overtaken.remove(entry)
   }
 
   /** Returns the earliest of the latest possible starts; undefined while no request waits. */
-  findNextStart (): number | undefined {
+  findNextLatestStart (): number | undefined {
     return this.latestStarts.findPriority()
   }
 
@@ -42,12 +42,12 @@
   }
 
   /** Returns the request that has been overtaken for the longest; undefined if there is none. */
-  findPassedBy (now: number): WaitingRequest | undefined {
-    return (this.passedBy.findPriority() ?? Infinity) <= now ? this.passedBy.find() : undefined
+  findOvertaken (now: number): WaitingRequest | undefined {
+    return (this.overtaken.findPriority() ?? Infinity) <= now ? this.overtaken.find() : undefined
   }
 
   /** Postpones the time from which a request counts as overtaken. */
-  schedule (entry: WaitingRequest, passedByAt: number): void {
-    this.passedBy.set(entry, passedByAt)
+  schedule (entry: WaitingRequest, overtakenAt: number): void {
+    this.overtaken.set(entry, overtakenAt)
   }
 }
--- a/packages/almondrelay/src/request/choice/coldRamp.ts
+++ b/packages/almondrelay/src/request/choice/coldRamp.ts
@@ -1,12 +1,12 @@
 /** Share of its slots that a cold target may use at first. */
 const INITIAL_SHARE = 0.25
 /** Growth for each warm answer, as a share of the current limit, but at least `MIN_GROWTH_SLOTS`. */
-const GROWTH = 0.125
-const MIN_GROWTH = 0.5
+const GROWTH_SHARE = 0.125
+const MIN_GROWTH_SLOTS = 0.5
 /** An answer within this many times the typical latency counts as warm. */
-const WARM_RATIO = 2.5
+const MAX_WARM_RATIO = 2.5
 /** Number of slow answers that a cold target may give before it counts as slow. */
-const COLD_ANSWERS = 64
+const MAX_SLOW_ANSWERS = 64
 
 /**
  * Limits the number of requests that a cold target may run at once, and raises the limit with its answers.
@@ -19,20 +19,20 @@
  */
 export class ColdRamp {
   private limit: number
-  private coldAnswersLeft: number
+  private slowAnswersLeft: number
 
-  private constructor (private slots: number, limit: number, coldAnswers: number) {
+  private constructor (private slots: number, limit: number, slowAnswers: number) {
     this.limit = Math.min(limit, slots)
-    this.coldAnswersLeft = coldAnswers
+    this.slowAnswersLeft = slowAnswers
   }
 
   /** Creates the ramp of a target that is new, was idle for long or returns: slow answers are tolerated at first. */
   static createCold (slots: number): ColdRamp {
-    return new ColdRamp(slots, Math.max(1, slots * INITIAL_SHARE), COLD_ANSWERS)
+    return new ColdRamp(slots, Math.max(1, slots * INITIAL_SHARE), MAX_SLOW_ANSWERS)
   }
 
   /** Creates the ramp of a target that passed its trial: the limit grows from one slot and slow answers are not tolerated. */
-  static createTried (slots: number): ColdRamp {
+  static createAfterTrial (slots: number): ColdRamp {
     return new ColdRamp(slots, 1, 0)
   }
 
@@ -45,22 +45,22 @@
     return this.limit >= this.slots
   }
 
-  get isForgiving (): boolean {
-    return this.coldAnswersLeft > 0 && !this.isDone
+  get isToleratingSlow (): boolean {
+    return this.slowAnswersLeft > 0 && !this.isDone
   }
 
   /** Records an answer. `ratio`: its latency divided by the typical latency. */
   observe (ratio: number): void {
-    if (ratio <= WARM_RATIO) {
-      this.limit = Math.min(this.slots, this.limit + Math.max(MIN_GROWTH, this.limit * GROWTH))
+    if (ratio <= MAX_WARM_RATIO) {
+      this.limit = Math.min(this.slots, this.limit + Math.max(MIN_GROWTH_SLOTS, this.limit * GROWTH_SHARE))
       return
     }
-    this.coldAnswersLeft = Math.max(0, this.coldAnswersLeft - 1)
+    this.slowAnswersLeft = Math.max(0, this.slowAnswersLeft - 1)
   }
 
   /** Lowers the limit after the target shed a request while running `running` requests. */
   observeShed (running: number): void {
-    this.limit = Math.max(1, Math.min(this.limit, running) * (1 - GROWTH))
+    this.limit = Math.max(1, Math.min(this.limit, running) * (1 - GROWTH_SHARE))
   }
 
   setSlots (slots: number): void {
--- a/packages/almondrelay/src/request/choice/openTargets.ts
+++ b/packages/almondrelay/src/request/choice/openTargets.ts
@@ -56,9 +56,9 @@
   }
 
   private setCounts (state: TargetState, counts: TargetCounts): void {
-    const before = this.counts.get(state)
-    this.capacity += counts.allowed - (before?.allowed ?? 0)
-    this.headroom += counts.headroom - (before?.headroom ?? 0)
+    const previous = this.counts.get(state)
+    this.capacity += counts.allowed - (previous?.allowed ?? 0)
+    this.headroom += counts.headroom - (previous?.headroom ?? 0)
     this.counts.set(state, counts)
   }
 
--- a/packages/almondrelay/src/request/choice/targetChooser.ts
+++ b/packages/almondrelay/src/request/choice/targetChooser.ts
@@ -29,40 +29,40 @@
  */
 export class TargetChooser {
   private readonly states = new Map<string, TargetState>()
-  private readonly open = new OpenTargets()
-  private readonly norm = new LatencyNorm()
+  private readonly openTargets = new OpenTargets()
+  private readonly typicalLatency = new LatencyNorm()
   /** The last random number drawn, by which the trials of several hosts are spread in time. */
-  private spread = 0
+  private lastDraw = 0
 
   /** Replaces the targets; the state of those that remain is kept. */
   adoptTargets (targets: readonly TargetSpec[], now: number): void {
     const names = new Set(targets.map((target) => target.name))
     for (const [name, state] of this.states) {
       if (names.has(name)) continue
-      this.open.remove(state)
+      this.openTargets.remove(state)
       this.states.delete(name)
     }
     for (const target of targets) {
       const state = this.states.get(target.name) ?? new TargetState(target.name, target.slots, now)
       this.states.set(target.name, state)
-      state.adopt(target)
-      this.open.reconcile(state)
+      state.applySpec(target)
+      this.openTargets.reconcile(state)
     }
   }
 
   /** Requests that may run at once on all targets, as limited by ramps and trials, without leaving targets. */
   get capacity (): number {
-    return this.open.capacity
+    return this.openTargets.capacity
   }
 
   /** Requests that could start immediately, by this host's own count. */
   get headroom (): number {
-    return this.open.headroom
+    return this.openTargets.headroom
   }
 
   /** Number of requests that `choose` would place now: the headroom, or one trial of an ejected target. */
   countReady (now: number): number {
-    return this.open.headroom > 0 ? this.open.headroom : Number(this.open.findTrialDue(now) !== undefined)
+    return this.openTargets.headroom > 0 ? this.openTargets.headroom : Number(this.openTargets.findTrialDue(now) !== undefined)
   }
 
   countRunning (target: string): number {
@@ -81,7 +81,7 @@
    * `free`: free slots that this host may use, by target. `exclude`: targets that were already tried.
    */
   choose (free: ReadonlyMap<string, number>, exclude: ReadonlySet<string>, now: number, random: Random): TargetChoice | undefined {
-    this.spread = random()
+    this.lastDraw = random()
     const trial = this.findTrial(free, exclude, now)
     if (trial !== undefined) return this.describeChoice(trial, ChoiceReason.trial, now)
     const one = this.pickOpen(free, exclude, undefined, now, random)
@@ -99,17 +99,17 @@
   start (target: string, now: number, expectedMs?: number): void {
     const state = this.states.get(target)
     if (state === undefined) return
-    state.start(expectedMs, this.norm.ratio, now)
-    this.open.reconcile(state)
+    state.start(expectedMs, this.typicalLatency.ratio, now)
+    this.openTargets.reconcile(state)
   }
 
   finish (target: string, result: TargetResult, now: number): void {
     const state = this.states.get(target)
     if (state === undefined) return
-    state.trialSpread = this.spread
-    const ratio = state.finish(result, this.norm.ratio, now)
-    if (ratio !== undefined) this.norm.learn(ratio)
-    this.open.reconcile(state)
+    state.trialSpread = this.lastDraw
+    const ratio = state.finish(result, this.typicalLatency.ratio, now)
+    if (ratio !== undefined) this.typicalLatency.recordRatio(ratio)
+    this.openTargets.reconcile(state)
   }
 
   report (target: string, report: TargetReport, now: number): void {
@@ -118,15 +118,15 @@
     state.reports.accept(report, now)
     state.isReportedLeaving = report.leaving
     if (state.reports.isUnhealthy && state.trialAt === undefined) state.eject(now)
-    this.open.reconcile(state)
+    this.openTargets.reconcile(state)
   }
 
   /** Marks a target as leaving because of a drain or of the host list. */
   markLeaving (target: string, leaving: boolean, _now: number): void {
     const state = this.states.get(target)
     if (state === undefined) return
-    state.isOrderedToLeave = leaving
-    this.open.reconcile(state)
+    state.isMarkedLeaving = leaving
+    this.openTargets.reconcile(state)
   }
 
   /** Describes the state of one target, for status and log lines. */
@@ -136,7 +136,7 @@
   }
 
   private findTrial (free: ReadonlyMap<string, number>, exclude: ReadonlySet<string>, now: number): TargetState | undefined {
-    const state = this.open.findTrialDue(now)
+    const state = this.openTargets.findTrialDue(now)
     if (state === undefined || state.isLeaving || exclude.has(state.name) || (free.get(state.name) ?? 0) <= 0) return undefined
     return state.isSilent(now) ? undefined : state
   }
@@ -145,26 +145,26 @@
     const allow = (state: TargetState): boolean =>
       state !== drawn && !exclude.has(state.name) && (free.get(state.name) ?? 0) > 0 && this.check(state, now)
     for (let draw = 0; draw < MAX_DRAWS; draw += 1) {
-      const state = this.open.pick(random)
+      const state = this.openTargets.pick(random)
       if (state === undefined) return undefined
       if (allow(state)) return state
     }
-    return this.open.find(allow, random)
+    return this.openTargets.find(allow, random)
   }
 
   /** Checks a target that is about to get work: makes it cold again after a long idle time, and ejects it if it is silent. */
   private check (state: TargetState, now: number): boolean {
-    if (state.checkIdle(now)) this.open.reconcile(state)
+    if (state.checkIdle(now)) this.openTargets.reconcile(state)
     if (!state.isSilent(now)) return true
-    state.trialSpread = this.spread
+    state.trialSpread = this.lastDraw
     state.eject(now)
-    this.open.reconcile(state)
+    this.openTargets.reconcile(state)
     return false
   }
 
   private estimateScore (state: TargetState, now: number): number {
     const ownLoad = (state.running + 1) / state.slots
-    return (ownLoad + state.reports.estimateExtraLoad(ownLoad, now)) * state.slowness / this.norm.ratio
+    return (ownLoad + state.reports.estimateExtraLoad(ownLoad, now)) * state.slowness / this.typicalLatency.ratio
   }
 
   private describeChoice (state: TargetState, reason: ChoiceReason, now: number): TargetChoice {
--- a/packages/almondrelay/src/request/choice/targetState.ts
+++ b/packages/almondrelay/src/request/choice/targetState.ts
@@ -13,28 +13,28 @@
 const MAX_RATIO = 20
 /** A running request is overdue after this many times its expected latency, but not before `MIN_OVERDUE_MS`. */
 const OVERDUE_FACTOR = 10
-const OVERDUE_MIN_MS = 200
+const MIN_OVERDUE_MS = 200
 /** Time after which a request of unknown cost is overdue, in milliseconds. */
-const UNKNOWN_PATIENCE_MS = 5_000
+const UNKNOWN_COST_TIMEOUT_MS = 5_000
 const FAILURES_TO_EJECT = 2
 const SHEDS_TO_EJECT = 8
-const FIRST_BACKOFF_MS = 500
+const MIN_BACKOFF_MS = 500
 const MAX_BACKOFF_MS = 8_000
 /** Share of the backoff over which the trials of different hosts are spread. */
-const TRIAL_SPREAD = 0.5
+const TRIAL_SPREAD_SHARE = 0.5
 /** A target unused for this long counts as cold again; cache entries usually have a longer time to live. */
-const IDLE_MS = 60_000
+const COLD_AFTER_IDLE_MS = 60_000
 
 interface RunningAttempt {
   startedAt: number
   /** Time without an answer after which the attempt is overdue, in milliseconds. */
-  patienceMs: number
+  overdueAfterMs: number
   expectedMs: number | undefined
 }
 
 /** State of one target of a service at one host, measured primarily by the host's own requests. */
 export class TargetState {
-  isOrderedToLeave = false
+  isMarkedLeaving = false
   isReportedLeaving = false
   /** Measured latency divided by the expected latency, averaged over the last answers to this host. */
   slowness = 1
@@ -47,8 +47,8 @@
   private attempts: RunningAttempt[] = []
   private failures = 0
   private sheds = 0
-  private backoffMs = FIRST_BACKOFF_MS
-  private lastGoodAt = -Infinity
+  private backoffMs = MIN_BACKOFF_MS
+  private lastAnswerAt = -Infinity
   private lastUsedAt: number
 
   constructor (readonly name: string, public slots: number, now: number) {
@@ -61,7 +61,7 @@
   }
 
   get isLeaving (): boolean {
-    return this.isOrderedToLeave || this.isReportedLeaving
+    return this.isMarkedLeaving || this.isReportedLeaving
   }
 
   /** Requests that the target may run at once, trials apart: none while it is leaving or ejected. */
@@ -74,14 +74,14 @@
     return this.trialAt === undefined && this.ramp.isDone
   }
 
-  adopt (spec: TargetSpec): void {
+  applySpec (spec: TargetSpec): void {
     this.slots = spec.slots
     this.ramp.setSlots(spec.slots)
   }
 
   start (expectedMs: number | undefined, typicalRatio: number, now: number): void {
-    const patienceMs = expectedMs === undefined ? UNKNOWN_PATIENCE_MS : Math.max(OVERDUE_MIN_MS, OVERDUE_FACTOR * expectedMs * typicalRatio)
-    this.attempts.push({ startedAt: now, patienceMs, expectedMs })
+    const overdueAfterMs = expectedMs === undefined ? UNKNOWN_COST_TIMEOUT_MS : Math.max(MIN_OVERDUE_MS, OVERDUE_FACTOR * expectedMs * typicalRatio)
+    this.attempts.push({ startedAt: now, overdueAfterMs: overdueAfterMs, expectedMs })
     this.lastUsedAt = now
   }
 
@@ -90,11 +90,11 @@
     const attempt = this.takeAttempt(now - result.latencyMs)
     this.lastUsedAt = now
     if (attempt === undefined) return undefined
-    const isOverdue = result.latencyMs > attempt.patienceMs
+    const isOverdue = result.latencyMs > attempt.overdueAfterMs
     if (result.cancelled === true && !isOverdue) return undefined
     if (result.shed === true) return this.observeShed(now)
     if (!result.ok) return this.observeFailure(now)
-    if (attempt.expectedMs === undefined) return this.observeUnknown(now)
+    if (attempt.expectedMs === undefined) return this.observeUnknownCost(now)
     return this.observeAnswer(Math.min(MAX_RATIO, result.latencyMs / attempt.expectedMs), typicalRatio, now)
   }
 
@@ -103,20 +103,20 @@
    * inferred from the running attempts: one is overdue, and no successful answer was received since it began.
    */
   isSilent (now: number): boolean {
-    return this.attempts.some((attempt) => now - Math.max(attempt.startedAt, this.lastGoodAt) > attempt.patienceMs)
+    return this.attempts.some((attempt) => now - Math.max(attempt.startedAt, this.lastAnswerAt) > attempt.overdueAfterMs)
   }
 
   /** Stops sending requests to the target; a trial follows after a delay that doubles with each ejection. */
   eject (now: number): void {
     const isWaiting = this.trialAt !== undefined && this.trialAt > now
     if (isWaiting) return
-    this.trialAt = now + this.backoffMs * (1 + TRIAL_SPREAD * this.trialSpread)
+    this.trialAt = now + this.backoffMs * (1 + TRIAL_SPREAD_SHARE * this.trialSpread)
     this.backoffMs = Math.min(MAX_BACKOFF_MS, this.backoffMs * 2)
   }
 
   /** Restarts the ramp of a target without work for a long time, as its caches are cold; returns whether it did. */
   checkIdle (now: number): boolean {
-    if (this.running > 0 || now - this.lastUsedAt < IDLE_MS) return false
+    if (this.running > 0 || now - this.lastUsedAt < COLD_AFTER_IDLE_MS) return false
     this.lastUsedAt = now
     this.ramp = ColdRamp.createCold(this.slots)
     return true
@@ -145,10 +145,10 @@
   }
 
   /** Records an answer to a request of unknown cost: it shows only that the target is not silent. */
-  private observeUnknown (now: number): undefined {
+  private observeUnknownCost (now: number): undefined {
     this.failures = 0
     this.sheds = 0
-    this.lastGoodAt = now
+    this.lastAnswerAt = now
     if (this.trialAt !== undefined) this.finishTrial(1, now)
     else this.ramp.observe(1)
     return undefined
@@ -158,7 +158,7 @@
     const relative = ratio / typicalRatio
     this.failures = 0
     this.sheds = 0
-    this.lastGoodAt = now
+    this.lastAnswerAt = now
     this.reports.observe(relative, now)
     this.slowness = this.trialAt === undefined ? this.slowness + SLOWNESS_WEIGHT * (ratio - this.slowness) : ratio
     if (this.trialAt !== undefined) this.finishTrial(relative, now)
@@ -172,12 +172,12 @@
       return
     }
     this.trialAt = undefined
-    this.ramp = ColdRamp.createTried(this.slots)
+    this.ramp = ColdRamp.createAfterTrial(this.slots)
   }
 
   private checkSlow (relative: number, typicalRatio: number, now: number): void {
     this.ramp.observe(relative)
-    if (this.ramp.isDone) this.backoffMs = FIRST_BACKOFF_MS
-    if (this.slowness > SLOW_RATIO * typicalRatio && !this.ramp.isForgiving) this.eject(now)
+    if (this.ramp.isDone) this.backoffMs = MIN_BACKOFF_MS
+    if (this.slowness > SLOW_RATIO * typicalRatio && !this.ramp.isToleratingSlow) this.eject(now)
   }
 }
--- a/packages/almondrelay/src/request/contract/parseCallerRequest.ts
+++ b/packages/almondrelay/src/request/contract/parseCallerRequest.ts
@@ -19,15 +19,15 @@
 
 type Headers = ReadonlyMap<string, string>
 
-const VISIBLE = /^[\x21-\x7e]{1,128}$/
+const VISIBLE_TEXT = /^[\x21-\x7e]{1,128}$/
 const DEADLINE = /^\d{1,9}$/
 const ATTEMPT = /^\d{1,6}$/
-const ANONYMOUS = 'anonymous'
+const ANONYMOUS_CALLER = 'anonymous'
 /** Maximum number of characters of a malformed value that a message quotes. */
-const SHOWN = 40
+const MAX_QUOTED_CHARACTERS = 40
 
 /** Thrown while a request is parsed that violates the caller contract. */
-class ContractBreach extends Error {
+class ContractViolation extends Error {
   constructor (readonly reason: RefusalReason, message: string) {
     super(message)
   }
@@ -38,7 +38,7 @@
   try {
     return { request: readRequest(raw, service, limits, makeId) }
   } catch (error) {
-    if (!(error instanceof ContractBreach)) throw error
+    if (!(error instanceof ContractViolation)) throw error
     return { refusal: buildRefusal({ outcome: Outcome.notRun, reason: error.reason, message: error.message }) }
   }
 }
@@ -49,13 +49,13 @@
   const idempotent = isIdempotent(service, raw.method, raw.path)
   const id = readId(headers)
   const home = readHome(headers)
-  if (!idempotent) requireOnce(raw, id, home)
+  if (!idempotent) requireIdAndHome(raw, id, home)
   return {
     id: id ?? makeId(),
     idTime: id === undefined ? undefined : parseIdTime(id),
     attempt: readAttempt(headers),
     service: raw.service,
-    caller: readName(headers, HeaderName.caller) ?? ANONYMOUS,
+    caller: readName(headers, HeaderName.caller) ?? ANONYMOUS_CALLER,
     key: readName(headers, HeaderName.key) ?? '',
     method: raw.method,
     path: raw.path,
@@ -69,19 +69,19 @@
 
 function checkBody (raw: RawRequest, service: ServiceSpec): void {
   if (raw.body.byteLength <= service.maxBodyBytes) return
-  throw new ContractBreach(RefusalReason.bodyTooLarge, `the body has ${raw.body.byteLength} bytes: send at most ${service.maxBodyBytes}`)
+  throw new ContractViolation(RefusalReason.bodyTooLarge, `the body has ${raw.body.byteLength} bytes: send at most ${service.maxBodyBytes}`)
 }
 
 /** Checks that a request that must not run twice has an id and a home. */
-function requireOnce (raw: RawRequest, id: string | undefined, home: HomeReference | undefined): void {
-  const about = `${raw.method} ${raw.path.slice(0, SHOWN)} is not idempotent`
-  if (id === undefined) throw new ContractBreach(RefusalReason.missingId, `${about}: send Idempotency-Key, a UUIDv7 that stays the same on every retry`)
-  if (home === undefined) throw new ContractBreach(RefusalReason.missingHome, `${about}: send Almondrelay-Home, host;incarnation from the look-up that you used first`)
+function requireIdAndHome (raw: RawRequest, id: string | undefined, home: HomeReference | undefined): void {
+  const about = `${raw.method} ${raw.path.slice(0, MAX_QUOTED_CHARACTERS)} is not idempotent`
+  if (id === undefined) throw new ContractViolation(RefusalReason.missingId, `${about}: send Idempotency-Key, a UUIDv7 that stays the same on every retry`)
+  if (home === undefined) throw new ContractViolation(RefusalReason.missingHome, `${about}: send Almondrelay-Home, host;incarnation from the look-up that you used first`)
 }
 
 function readId (headers: Headers): string | undefined {
   const text = headers.get(HeaderName.id)?.toLowerCase()
-  if (text !== undefined && parseIdTime(text) === undefined) throw buildBreach('Idempotency-Key', text, 'send a UUIDv7')
+  if (text !== undefined && parseIdTime(text) === undefined) throw buildViolation('Idempotency-Key', text, 'send a UUIDv7')
   return text
 }
 
@@ -89,29 +89,29 @@
   const text = headers.get(HeaderName.home)
   if (text === undefined) return undefined
   const home = parseHome(text)
-  if (home === undefined) throw buildBreach('Almondrelay-Home', text, 'send host;incarnation as the look-up gave them')
+  if (home === undefined) throw buildViolation('Almondrelay-Home', text, 'send host;incarnation as the look-up gave them')
   return home
 }
 
 function readAttempt (headers: Headers): number | undefined {
   const text = headers.get(HeaderName.attempt)
-  if (text !== undefined && !ATTEMPT.test(text)) throw buildBreach('Almondrelay-Attempt', text, 'send a whole number, one higher after each not-run')
+  if (text !== undefined && !ATTEMPT.test(text)) throw buildViolation('Almondrelay-Attempt', text, 'send a whole number, one higher after each not-run')
   return text === undefined ? undefined : Number(text)
 }
 
 function readDeadlineMs (headers: Headers): number | undefined {
   const text = headers.get(HeaderName.deadline)
   if (text === undefined) return undefined
-  if (!DEADLINE.test(text) || Number(text) === 0) throw buildBreach('Almondrelay-Deadline', text, 'send the milliseconds left, a whole number above 0')
+  if (!DEADLINE.test(text) || Number(text) === 0) throw buildViolation('Almondrelay-Deadline', text, 'send the milliseconds left, a whole number above 0')
   return Number(text)
 }
 
 function readName (headers: Headers, header: typeof HeaderName.caller | typeof HeaderName.key): string | undefined {
   const text = headers.get(header)
-  if (text !== undefined && !VISIBLE.test(text)) throw buildBreach(header, text, 'send 1 to 128 visible ASCII characters')
+  if (text !== undefined && !VISIBLE_TEXT.test(text)) throw buildViolation(header, text, 'send 1 to 128 visible ASCII characters')
   return text
 }
 
-function buildBreach (header: string, text: string, remedy: string): ContractBreach {
-  return new ContractBreach(RefusalReason.invalidHeader, `${header} is '${text.slice(0, SHOWN)}': ${remedy}`)
+function buildViolation (header: string, text: string, remedy: string): ContractViolation {
+  return new ContractViolation(RefusalReason.invalidHeader, `${header} is '${text.slice(0, MAX_QUOTED_CHARACTERS)}': ${remedy}`)
 }
--- a/packages/almondrelay/src/request/placement/__tests__/regionLoss.test.ts
+++ b/packages/almondrelay/src/request/placement/__tests__/regionLoss.test.ts
@@ -22,7 +22,7 @@
       const running = new Map<string, number>()
       const shifted = new Map<string, number>()
       const ends: Array<{ at: number, zone: string, link: string | undefined }> = []
-      const mostRunning = { zone: 0, link: 0 }
+      const maxRunning = { zone: 0, link: 0 }
       const counts = { run: 0, refused: 0, overload: 0 }
       const count = (map: Map<string, number>, name: string): number => map.get(name) ?? 0
       const add = (map: Map<string, number>, name: string, by: number): void => { map.set(name, count(map, name) + by) }
@@ -59,14 +59,14 @@
         const link = callerRegion === 'r0' ? `r0>${granted.region}` : undefined
         add(running, granted.availabilityZone, 1)
         if (link !== undefined) add(shifted, link, 1)
-        mostRunning.zone = Math.max(mostRunning.zone, count(running, granted.availabilityZone))
-        if (link !== undefined) mostRunning.link = Math.max(mostRunning.link, count(shifted, link))
+        maxRunning.zone = Math.max(maxRunning.zone, count(running, granted.availabilityZone))
+        if (link !== undefined) maxRunning.link = Math.max(maxRunning.link, count(shifted, link))
         counts.run += 1
         ends.push({ at: now - Math.log(1 - random()) * size.meanMs, zone: granted.availabilityZone, link })
       }
-      console.log(`${deployment.name}/${size.service}: run ${counts.run}, refused ${counts.refused}, most in a zone ${mostRunning.zone} of ${slots}, most shifted ${mostRunning.link} of ${cap}`)
-      assert.ok(mostRunning.zone <= slots)
-      assert.ok(mostRunning.link <= cap)
+      console.log(`${deployment.name}/${size.service}: run ${counts.run}, refused ${counts.refused}, most in a zone ${maxRunning.zone} of ${slots}, most shifted ${maxRunning.link} of ${cap}`)
+      assert.ok(maxRunning.zone <= slots)
+      assert.ok(maxRunning.link <= cap)
       assert.is(counts.run + counts.refused, STEPS)
     })
   }
--- a/packages/almondrelay/src/request/placement/choosePlacement.ts
+++ b/packages/almondrelay/src/request/placement/choosePlacement.ts
@@ -8,14 +8,14 @@
 import type { ZoneView } from './zoneView.js'
 
 /** Time in which a report of another zone's free slots loses about two thirds of its weight; zones report every second. */
-const REPORT_FADE_MS = 2_000
+const REPORT_DECAY_MS = 2_000
 /** A report older than this is ignored: the zone then counts as without free slots. */
-const REPORT_LIMIT_MS = 10_000
+const MAX_REPORT_AGE_MS = 10_000
 /** Random share added to the expected cost of other zones, so that hosts with the same state don't all ask the same zone. */
-const SPREAD = 0.2
+const COST_JITTER = 0.2
 /** Maximum number of zones to try; each costs a round trip, and a request has no time for more. */
 const MAX_ZONES = 4
-const RETRY_MS = 1_000
+const MIN_RETRY_AFTER_MS = 1_000
 
 interface RankedZone extends PlacementZone {
   rank: number
@@ -39,13 +39,13 @@
   if (candidates.length === 0) return refuse(RefusalReason.noTarget, random)
   const inTime = candidates.filter((zone) => estimateCost(zone) + input.costMs <= input.remainingMs)
   if (inTime.length === 0) return refuse(RefusalReason.deadlineUnreachable, random)
-  const blocking = inTime.map((zone) => findBlockingCap(input, zone))
-  const allowed = inTime.filter((zone, index) => blocking[index] === undefined && allowRegion(input, zone))
-  if (allowed.length === 0) return refuse(blocking.find((cap) => cap !== undefined)?.reason ?? RefusalReason.noTarget, random)
-  const usable = allowed.filter((zone) => zone.availabilityZone === input.ownZone || estimateFree(zone) >= 1)
+  const blockingCaps = inTime.map((zone) => findBlockingCap(input, zone))
+  const allowed = inTime.filter((zone, index) => blockingCaps[index] === undefined && allowRegion(input, zone))
+  if (allowed.length === 0) return refuse(blockingCaps.find((cap) => cap !== undefined)?.reason ?? RefusalReason.noTarget, random)
+  const usable = allowed.filter((zone) => zone.availabilityZone === input.ownZone || estimateFreeSlots(zone) >= 1)
   if (usable.length === 0) return refuse(RefusalReason.noCredit, random)
-  const first = pickRegion(input, usable, random)
-  const ranked = usable.map((zone) => rankZone(input, zone, first, random))
+  const preferredRegion = pickRegion(input, usable, random)
+  const ranked = usable.map((zone) => rankZone(input, zone, preferredRegion, random))
   ranked.sort((one, other) => one.rank - other.rank || one.costMs - other.costMs)
   return { kind: 'zones', zones: ranked.slice(0, MAX_ZONES).map(({ rank, ...zone }) => zone) }
 }
@@ -56,9 +56,9 @@
  * Estimates the free slots of a zone: the reported number decays with age, but a report of one or more counts as at
  * least one until it is too old.
  */
-const estimateFree = (zone: ZoneView): number => {
-  if (zone.ageMs > REPORT_LIMIT_MS) return 0
-  return zone.freeSlots * Math.max(Math.exp(-zone.ageMs / REPORT_FADE_MS), Math.min(1, 1 / Math.max(1, zone.freeSlots)))
+const estimateFreeSlots = (zone: ZoneView): number => {
+  if (zone.ageMs > MAX_REPORT_AGE_MS) return 0
+  return zone.freeSlots * Math.max(Math.exp(-zone.ageMs / REPORT_DECAY_MS), Math.min(1, 1 / Math.max(1, zone.freeSlots)))
 }
 
 /** Round-trip time plus the expected wait in the zone. */
@@ -68,10 +68,10 @@
   input.spill || input.weights === undefined || getWeight(input, zone.region) > 0
 
 const findBlockingCap = (input: PlacementInput, zone: ZoneView): CapView | undefined =>
-  input.caps.find((cap) => cap.free < 1 && cap.toRegion === zone.region && allowCapSource(input, cap, zone))
+  input.caps.find((cap) => cap.free < 1 && cap.toRegion === zone.region && isCapApplicable(input, cap, zone))
 
 /** Whether a limit applies to the request: that of a region applies to all work, that of a link or shift to work from its source region. */
-const allowCapSource = (input: PlacementInput, cap: CapView, zone: ZoneView): boolean => {
+const isCapApplicable = (input: PlacementInput, cap: CapView, zone: ZoneView): boolean => {
   if (cap.fromRegion === undefined) return true
   if (cap.fromRegion === zone.region) return false
   return cap.fromRegion === input.ownRegion || cap.fromRegion === input.callerRegion
@@ -90,30 +90,30 @@
   return input.ownRegion
 }
 
-function rankZone (input: PlacementInput, zone: ZoneView, first: string, random: Random): RankedZone {
+function rankZone (input: PlacementInput, zone: ZoneView, preferredRegion: string, random: Random): RankedZone {
   const isOwn = zone.availabilityZone === input.ownZone
   const costMs = estimateCost(zone)
   return {
     availabilityZone: zone.availabilityZone,
     region: zone.region,
-    reason: explainZone(input, zone, first),
-    costMs: costMs * (isOwn ? 1 : 1 + SPREAD * random()),
+    reason: explainZone(input, zone, preferredRegion),
+    costMs: costMs * (isOwn ? 1 : 1 + COST_JITTER * random()),
     needsCredit: !isOwn,
-    rank: rankRegion(input, zone, first) + (isOwn ? 0 : 1)
+    rank: rankRegion(input, zone, preferredRegion) + (isOwn ? 0 : 1)
   }
 }
 
-function rankRegion (input: PlacementInput, zone: ZoneView, first: string): number {
-  if (zone.region === first) return 0
+function rankRegion (input: PlacementInput, zone: ZoneView, preferredRegion: string): number {
+  if (zone.region === preferredRegion) return 0
   return getWeight(input, zone.region) > 0 ? 2 : 4
 }
 
-function explainZone (input: PlacementInput, zone: ZoneView, first: string): PlacementReason {
-  if (zone.region !== first) return getWeight(input, zone.region) > 0 ? PlacementReason.policy : PlacementReason.spill
+function explainZone (input: PlacementInput, zone: ZoneView, preferredRegion: string): PlacementReason {
+  if (zone.region !== preferredRegion) return getWeight(input, zone.region) > 0 ? PlacementReason.policy : PlacementReason.spill
   if (zone.region !== input.ownRegion) return PlacementReason.policy
   return zone.availabilityZone === input.ownZone ? PlacementReason.ownZone : PlacementReason.ownRegion
 }
 
 function refuse (reason: RefusalReason, random: Random): Placement {
-  return { kind: 'refuse', reason, retryAfterMs: Math.round(RETRY_MS * (1 + random())) }
+  return { kind: 'refuse', reason, retryAfterMs: Math.round(MIN_RETRY_AFTER_MS * (1 + random())) }
 }
--- a/packages/almondrelay/src/request/retry/__tests__/decideRetry.test.ts
+++ b/packages/almondrelay/src/request/retry/__tests__/decideRetry.test.ts
@@ -31,7 +31,7 @@
   // A region fails: every attempt of 1,000 requests a second is lost for 10 s. If each
   // request were tried three times, the remaining targets would get three times the load.
   const budget = new RetryBudget()
-  for (let request = 0; request < 10_000; request += 1) budget.addServed(request)
+  for (let request = 0; request < 10_000; request += 1) budget.recordServed(request)
   let retries = 0
   for (let request = 0; request < 10_000; request += 1) {
     const now = 10_000 + request
--- a/packages/almondrelay/src/request/retry/decideHedge.ts
+++ b/packages/almondrelay/src/request/retry/decideHedge.ts
@@ -3,8 +3,8 @@
 import type { RetryBudget } from './retryBudget.js'
 
 /** Multiple of the expected cost after which an answer counts as late: 1 in 150 answers, if service times are exponential. */
-const HEDGE_AFTER = 5
-const HEDGE_MIN_MS = 50
+const HEDGE_DELAY_FACTOR = 5
+const MIN_HEDGE_DELAY_MS = 50
 
 /**
  * Decides whether a second attempt, a hedge, is started while the first one is late.
@@ -15,11 +15,11 @@
  */
 export function decideHedge (input: HedgeInput, budget: RetryBudget, now: number): HedgeDecision {
   if (!input.idempotent || input.attempts > 1) return { kind: 'never' }
-  const hedgeAt = input.startedAt + Math.max(HEDGE_MIN_MS, HEDGE_AFTER * input.costMs)
+  const hedgeAt = input.startedAt + Math.max(MIN_HEDGE_DELAY_MS, HEDGE_DELAY_FACTOR * input.costMs)
   if (hedgeAt + input.costMs >= input.deadlineAt) return { kind: 'never' }
   if (now < hedgeAt) return { kind: 'wait', afterMs: hedgeAt - now }
   if (now + input.costMs >= input.deadlineAt) return { kind: 'never' }
   const isSlotSpare = input.freeSlots > 0 && input.waiting === 0
-  if (!isSlotSpare || !budget.use(now)) return { kind: 'wait', afterMs: HEDGE_MIN_MS }
+  if (!isSlotSpare || !budget.use(now)) return { kind: 'wait', afterMs: MIN_HEDGE_DELAY_MS }
   return { kind: 'hedge' }
 }
--- a/packages/almondrelay/src/request/retry/retryBudget.ts
+++ b/packages/almondrelay/src/request/retry/retryBudget.ts
@@ -1,5 +1,5 @@
 /** Retries and hedges allowed for each served request. */
-const FRACTION = 0.1
+const TOKENS_PER_SERVED_REQUEST = 0.1
 /** Maximum number of tokens, earned by 100 served requests, so that an hour of low load doesn't allow a retry storm. */
 const MAX_TOKENS = 10
 /** Tokens added each second regardless of traffic, so that a service with few requests can retry at all. */
@@ -18,9 +18,9 @@
   private advancedAt: number | undefined
 
   /** Records a request that got a complete answer. */
-  addServed (now: number): void {
+  recordServed (now: number): void {
     this.advance(now)
-    this.tokens = Math.min(MAX_TOKENS, this.tokens + FRACTION)
+    this.tokens = Math.min(MAX_TOKENS, this.tokens + TOKENS_PER_SERVED_REQUEST)
   }
 
   allow (now: number): boolean {
@@ -36,7 +36,7 @@
   }
 
   /** Number of extra attempts that remain. */
-  get left (): number {
+  get remaining (): number {
     return Math.floor(this.tokens)
   }
 
--- a/packages/almondrelay/src/version/clientBlocks/parseIp.ts
+++ b/packages/almondrelay/src/version/clientBlocks/parseIp.ts
@@ -1,5 +1,5 @@
 import { AddressFamily } from './addressFamily.js'
-import type { IpNumber } from './ipNumber.js'
+import type { IpAddress } from './ipAddress.js'
 
 const DOT = 46
 const DIGIT_0 = 48
@@ -9,11 +9,11 @@
 const groups = new Uint16Array(GROUPS)
 
 /** Parses an IP address; returns undefined for other text. IPv4-mapped IPv6 addresses (`::ffff:10.0.0.1`) count as IPv4. */
-export function parseIp (text: string): IpNumber | undefined {
+export function parseIp (text: string): IpAddress | undefined {
   return text.includes(':') ? parseV6(text) : makeV4(parseDotted(text))
 }
 
-const makeV4 = (value: number): IpNumber | undefined => value < 0
+const makeV4 = (value: number): IpAddress | undefined => value < 0
   ? undefined
   : { family: AddressFamily.v4, chunk: Math.floor(value / 0x1000000), key: value % 0x1000000, lowHigh: 0, lowLow: 0 }
 
@@ -40,7 +40,7 @@
 }
 
 // Reads character codes into one reused array, so that a look-up does not allocate eight strings.
-const parseV6 = (text: string): IpNumber | undefined => {
+const parseV6 = (text: string): IpAddress | undefined => {
   let count = 0
   let gap = -1
   let index = 0
@@ -91,7 +91,7 @@
 }
 
 // `gap`: the number of groups before `::`, -1 without `::`. `dotted`: the IPv4 part, -1 if malformed.
-const makeV6 = (read: number, gap: number, dotted: number | undefined): IpNumber | undefined => {
+const makeV6 = (read: number, gap: number, dotted: number | undefined): IpAddress | undefined => {
   let count = read
   if (dotted !== undefined) {
     if (dotted < 0 || count > GROUPS - 2) return undefined
--- a/packages/almondrelay/src/version/clientBlocks/parsePrefix.ts
+++ b/packages/almondrelay/src/version/clientBlocks/parsePrefix.ts
@@ -1,9 +1,9 @@
 import { AddressFamily } from './addressFamily.js'
-import type { IpNumber } from './ipNumber.js'
+import type { IpAddress } from './ipAddress.js'
 import { parseIp } from './parseIp.js'
 
 interface Prefix {
-  start: IpNumber
+  start: IpAddress
   length: number
 }
 
@@ -18,7 +18,7 @@
   return length > 128 ? undefined : { start: clearBits(ip, length, 16, 48), length }
 }
 
-const clearBits = (ip: IpNumber, length: number, chunkBits: number, keyBits: number): IpNumber => ({
+const clearBits = (ip: IpAddress, length: number, chunkBits: number, keyBits: number): IpAddress => ({
   family: ip.family,
   chunk: clearLow(ip.chunk, chunkBits - length),
   key: clearLow(ip.key, chunkBits + keyBits - length),
--- a/packages/almondrelay/src/version/configuration.ts
+++ b/packages/almondrelay/src/version/configuration.ts
@@ -25,10 +25,10 @@
   }
 
   /** Returns this revision with additional resources that are declared outside the configuration. */
-  withGiven (given: readonly Resource[]): Configuration {
-    if (given.length === 0) return this
+  withExternal (external: readonly Resource[]): Configuration {
+    if (external.length === 0) return this
     const resources = new Map(this.resources)
-    for (const resource of given) resources.set(makeKey(resource.kind, resource.name), resource)
+    for (const resource of external) resources.set(makeKey(resource.kind, resource.name), resource)
     return new Configuration(this.revision, resources)
   }
 
--- a/packages/almondrelay/src/version/pacing/computeShiftStep.ts
+++ b/packages/almondrelay/src/version/pacing/computeShiftStep.ts
@@ -5,7 +5,7 @@
 /** Maximum share moved per second: look-up answers live for 2 s, so that the effect of a step is seen before three more follow. */
 const MAX_SHARE_PER_SECOND = 0.1
 /** Share of the receivers' headroom that one step may use; the rest stays free for their own callers. */
-const HEADROOM_PART = 0.5
+const HEADROOM_SHARE = 0.5
 /** Maximum elapsed time that counts for one step. */
 const MAX_ELAPSED_MS = 2_000
 
@@ -23,7 +23,7 @@
   const bounds: ShiftStep[] = [
     { share: input.wantedShare, heldBy: PacingHold.done },
     { share: (input.cap ?? Infinity) / demand, heldBy: PacingHold.cap },
-    { share: share + Math.max(0, input.receiversHeadroom) * HEADROOM_PART / demand, heldBy: PacingHold.receivers },
+    { share: share + Math.max(0, input.receiversHeadroom) * HEADROOM_SHARE / demand, heldBy: PacingHold.receivers },
     { share: share + MAX_SHARE_PER_SECOND * Math.min(MAX_ELAPSED_MS, Math.max(0, elapsedMs)) / 1_000, heldBy: PacingHold.rate }
   ]
   const least = bounds.reduce((one, other) => other.share < one.share ? other : one)
--- a/packages/almondrelay/src/version/weights/computeLookupAnswer.ts
+++ b/packages/almondrelay/src/version/weights/computeLookupAnswer.ts
@@ -3,18 +3,18 @@
 import type { HostWeight } from './hostWeight.js'
 import type { LookupAnswer } from './lookupAnswer.js'
 import type { LookupInput } from './lookupInput.js'
-import { sortByDraw } from './sortByDraw.js'
+import { sortByWeightedDraw } from './sortByWeightedDraw.js'
 
 /** A host's weight may change by this share of itself, or of an equal share if that is larger, in one time to live. */
-const STEP = 0.25
+const MAX_STEP_SHARE = 0.25
 /** Maximum number of steps at once, even after a longer pause, because answers lag by up to a time to live. */
 const MAX_STEPS = 2
 /** Time in which reported free slots lose about two thirds of their weight compared with the total slots. */
-const REPORT_FADE_MS = 2_000
+const REPORT_DECAY_MS = 2_000
 /** Weight of the total slots next to the free slots: a full host still gets some requests, or it would never be seen to be free again. */
-const SLOTS_PART = 0.25
+const TOTAL_SLOTS_WEIGHT = 0.25
 /** Times to live are drawn from 1 - `TTL_JITTER` to 1 + `TTL_JITTER` times the mean. */
-const SPREAD = 0.25
+const TTL_JITTER = 0.25
 const MIN_TTL_MS = 100
 
 /**
@@ -35,8 +35,8 @@
   const wanted = normalize(weighHosts(input, hosts))
   const weights = previous === undefined ? wanted : limitSteps(wanted, previous, input.ttlMs, now)
   return {
-    hosts: sortByDraw(weights, random),
-    ttlMs: Math.max(MIN_TTL_MS, Math.round(input.ttlMs * (1 - SPREAD + 2 * SPREAD * random()))),
+    hosts: sortByWeightedDraw(weights, random),
+    ttlMs: Math.max(MIN_TTL_MS, Math.round(input.ttlMs * (1 - TTL_JITTER + 2 * TTL_JITTER * random()))),
     computedAt: now
   }
 }
@@ -45,14 +45,14 @@
   const sums = new Map<string, number>()
   for (const host of hosts) sums.set(host.region, (sums.get(host.region) ?? 0) + weighSlots(host))
   return hosts.map((host) => {
-    const own = weighSlots(host)
-    if (input.regionShares === undefined) return { host: host.name, weight: own }
-    return { host: host.name, weight: (input.regionShares[host.region] ?? 0) * own / (sums.get(host.region) ?? 1) }
+    const ownSlots = weighSlots(host)
+    if (input.regionShares === undefined) return { host: host.name, weight: ownSlots }
+    return { host: host.name, weight: (input.regionShares[host.region] ?? 0) * ownSlots / (sums.get(host.region) ?? 1) }
   })
 }
 
 const weighSlots = (host: HostView): number => {
-  const trust = (1 - SLOTS_PART) * Math.exp(-host.ageMs / REPORT_FADE_MS)
+  const trust = (1 - TOTAL_SLOTS_WEIGHT) * Math.exp(-host.ageMs / REPORT_DECAY_MS)
   return trust * host.freeSlots + (1 - trust) * host.slots
 }
 
@@ -62,18 +62,18 @@
  * others.
  */
 function limitSteps (wanted: readonly HostWeight[], previous: LookupAnswer, ttlMs: number, now: number): HostWeight[] {
-  const before = new Map(previous.hosts.map(({ host, weight }) => [host, weight]))
-  const staying = wanted.filter(({ host }) => before.has(host))
-  const kept = staying.reduce((sum, { host }) => sum + (before.get(host) ?? 0), 0)
-  if (kept <= 0) return [...wanted]
+  const previousWeights = new Map(previous.hosts.map(({ host, weight }) => [host, weight]))
+  const staying = wanted.filter(({ host }) => previousWeights.has(host))
+  const keptWeight = staying.reduce((sum, { host }) => sum + (previousWeights.get(host) ?? 0), 0)
+  if (keptWeight <= 0) return [...wanted]
   const steps = Math.min(MAX_STEPS, Math.max(0, now - previous.computedAt) / ttlMs)
   const equalShare = 1 / wanted.length
   const moves = wanted.map(({ host, weight }) => {
-    const from = (before.get(host) ?? 0) / kept
-    return { host, from, difference: weight - from, step: STEP * steps * Math.max(from, equalShare) }
+    const from = (previousWeights.get(host) ?? 0) / keptWeight
+    return { host, from, difference: weight - from, step: MAX_STEP_SHARE * steps * Math.max(from, equalShare) }
   })
-  const part = moves.reduce((least, { difference, step }) => difference === 0 ? least : Math.min(least, step / Math.abs(difference)), 1)
-  return moves.map(({ host, from, difference }) => ({ host, weight: from + part * difference }))
+  const moveShare = moves.reduce((least, { difference, step }) => difference === 0 ? least : Math.min(least, step / Math.abs(difference)), 1)
+  return moves.map(({ host, from, difference }) => ({ host, weight: from + moveShare * difference }))
 }
 
 function normalize (weights: readonly HostWeight[]): HostWeight[] {
