--- a/packages/almondrelay/src/process/configuration/__fixtures__/createTestHost.ts
+++ b/packages/almondrelay/src/process/configuration/__fixtures__/createTestHost.ts
@@ -14,7 +14,7 @@
   follow: (signal: AbortSignal) => Promise<void>
 }
 
-/** What one entry host keeps of the configuration, without ports. */
+/** The configuration components of one entry host, without network ports. */
 export function createTestHost (platform: FakePlatform, clock: FakeClock, seed = 1): TestHost {
   const store = new ConfigurationStore()
   const revisions: number[] = []
--- a/packages/almondrelay/src/process/configuration/__fixtures__/makeWrite.ts
+++ b/packages/almondrelay/src/process/configuration/__fixtures__/makeWrite.ts
@@ -3,7 +3,7 @@
 
 type PutWrite = Extract<Write, { action: 'put' }>
 
-/** A put of a Region with its own availability zone. */
+/** Makes a put of a Region with its own availability zone. */
 export function makeWrite (writeId: string, region: string, maxInFlight = 10, expectedRevision?: number): PutWrite {
   const spec = RegionSpec.parse({ availabilityZones: [`${region}-a`], maxInFlight })
   const write: PutWrite = { writeId, author: 'test', action: 'put', resource: { kind: 'Region', name: region, spec, revision: 0 } }
--- a/packages/almondrelay/src/process/configuration/__tests__/changeLog.test.ts
+++ b/packages/almondrelay/src/process/configuration/__tests__/changeLog.test.ts
@@ -24,8 +24,8 @@
   return entries.map((entry) => (JSON.parse(entry.value) as { writeId: string }).writeId)
 }
 
-// An operator applies a cap and sees a time-out, though the cap is in force: the platform stored
-// the change and its answer was lost. The writer must be told that it was accepted.
+// An operator applies a cap and gets a time-out although the cap is in force: the platform stored
+// the change, but its answer was lost. The writer must be told that it was accepted.
 test('a write whose answer is lost is found by its id and told as accepted', async () => {
   const { clock, platform, host } = createSystem()
   platform.faults.lostAnswers = 2
@@ -41,7 +41,7 @@
   assert.equal(outcome, { outcome: 'accepted', writeId: 'w1', revision: 1 })
 })
 
-// A write hangs in the network, is sent again, and then the first copy arrives too. Another
+// A write is delayed in the network and retried, and then the first copy arrives too. Another
 // operator has made a change between the two. The late copy must not undo or double anything.
 test('a copy of a write that arrives late changes nothing', async () => {
   const { clock, platform, host, other } = createSystem()
@@ -53,8 +53,8 @@
   assert.equal(await listLog(platform), ['w1', 'w2'])
 })
 
-// Two operators change the same region through two hosts at the same moment. One wins; the other
-// must learn which revision it lost to and must not be in force anywhere.
+// Two operators change the same region through two hosts at the same time. One write wins; the answer to the other
+// must name the revision it lost to, and the other must not be in force anywhere.
 test('of two conflicting writes one wins and the other names the revision it lost to', async () => {
   const { platform, host, other } = createSystem()
   const outcomes = await Promise.all([host.changeLog.submit(makeWrite('w1', 'akl', 10), never), other.changeLog.submit(makeWrite('w2', 'akl', 20), never)])
@@ -71,7 +71,7 @@
   assert.is(new Set(await listLog(platform)).size, 6)
 })
 
-// The platform goes away in the middle of a write. The writer must be told that the outcome is
+// The platform becomes unavailable in the middle of a write. The writer must be told that the outcome is
 // unknown; a repeat with the same id, through any host, must not make the change twice.
 test('an outage makes a write unknown, and a repeat by id makes it once', async () => {
   const { clock, platform, host, other } = createSystem()
@@ -89,8 +89,8 @@
   assert.equal(await listLog(platform), ['w1'])
 })
 
-// A write that may still be on its way is asked for: `absent` would let the operator believe that
-// it can't happen. It stays unknown at its host until its one place in the log is taken.
+// A write whose message may still be in transit is queried: `absent` would wrongly mean that the write can no longer
+// take effect. It stays unknown at its host until the one revision that it can become is taken.
 test('a write that may still arrive stays unknown until its revision is taken', async () => {
   const { clock, platform, host, other } = createSystem()
   platform.faults.lostWrites = 100
@@ -102,8 +102,8 @@
   assert.equal(await host.changeLog.findWrite('w1', never), { outcome: 'absent', revision: 1 })
 })
 
-// A host that lags is asked to write on a revision that it hasn't seen, naming a region that it
-// doesn't know. Refusing would blame the operator for the host's lag.
+// A host that lags gets a write based on a revision that it hasn't received, with a region that it doesn't know.
+// A refusal would report the host's lag as the operator's error.
 test('a host that lags catches up before it refuses', async () => {
   const { host, other } = createSystem()
   await host.changeLog.submit(makeWrite('w1', 'akl'), never)
--- a/packages/almondrelay/src/process/configuration/__tests__/followPlatformChanges.test.ts
+++ b/packages/almondrelay/src/process/configuration/__tests__/followPlatformChanges.test.ts
@@ -37,8 +37,8 @@
   await stop()
 })
 
-// The platform is down for six hours. Hosts must serve on with what they have, ask seldom enough
-// not to overrun it when it comes back, and have everything soon after it does.
+// The platform is down for six hours. Hosts must continue with the revision in force, send few enough calls not to
+// overload the platform when it recovers, and catch up soon after that.
 test('a long outage leaves the revision in force, costs few calls, and is caught up with', async () => {
   const { clock, platform, hosts, stop } = createFollowers(4)
   const [writer] = hosts
@@ -58,8 +58,8 @@
   await stop()
 })
 
-// A watch stays open and reports nothing any more, though changes are made. The follower would
-// stay on an old revision for good; it lists the log after each empty watch.
+// A watch stays open but no longer reports changes that are made. The follower would stay on an old revision
+// permanently, so it lists the log after each watch without events.
 test('a watch that stopped reporting is found out within its wait', async () => {
   const { clock, platform, hosts: [writer, follower], stop } = createFollowers(2)
   await clock.advance(100)
@@ -79,9 +79,9 @@
   await stop()
 })
 
-// Writers on several hosts race, while answers and writes are lost, late or held up by outages.
-// Whatever is told must be true: accepted writes stand in the log once, at the revision told;
-// conflicting, rejected and missing ones never do; all hosts end on one revision and none steps back.
+// Writers on several hosts race, while answers and writes are lost, late or delayed by outages. Every reported outcome
+// must be true: accepted writes are in the log once, at the reported revision; conflicting, rejected and missing
+// ones never are; all hosts end on one revision, and no host's revision decreases.
 test('what writers are told holds under any order of races and losses (seed 14)', async () => {
   const fault = fc.constantFrom('none', 'none', 'lostAnswer', 'lostWrite', 'lateWrite', 'outage', 'stopWatches')
   const step = fc.record({
--- a/packages/almondrelay/src/process/configuration/__tests__/snapshots.test.ts
+++ b/packages/almondrelay/src/process/configuration/__tests__/snapshots.test.ts
@@ -42,8 +42,8 @@
   assert.equal(loaded?.writes, snapshot.writes)
 })
 
-// A host dies while it writes a snapshot. A fresh host must not begin with half a configuration:
-// it takes the snapshot before, whole, and the log after it.
+// A host fails while it writes a snapshot. A new host must not start with half a configuration:
+// it loads the complete previous snapshot and the change log after it.
 test('a snapshot that was not finished is not read', async () => {
   const { clock, platform, createHost } = createSystem()
   await saveSnapshot(platform, makeLargeSnapshot(5, 3), never)
--- a/packages/almondrelay/src/process/configuration/changeKeys.ts
+++ b/packages/almondrelay/src/process/configuration/changeKeys.ts
@@ -1,9 +1,9 @@
 const REVISION_DIGITS = 12
 
-/** Keys of the change log and of its snapshots in the platform. */
+/** Keys of the change log and of its snapshots in the platform's store. */
 export const changeKeys = {
   prefix: 'changes/',
-  /** Names the newest complete snapshot. */
+  /** Key of the manifest of the newest complete snapshot. */
   manifest: 'snapshots/latest',
   makeChangeKey: (revision: number): string => `changes/${formatRevision(revision)}`,
   makeChunkKey: (revision: number, chunk: number): string => `snapshots/${formatRevision(revision)}/${String(chunk).padStart(4, '0')}`
--- a/packages/almondrelay/src/process/configuration/changeLog.ts
+++ b/packages/almondrelay/src/process/configuration/changeLog.ts
@@ -15,10 +15,10 @@
 import type { WriteAnswer } from './writeAnswer.js'
 import type { WriteOutcome } from './writeOutcome.js'
 
-/** Time after which a write whose answer can't be had is told as unknown. */
+/** Time after which a write without an answer is reported as `unknown`. */
 const RESOLVE_MS = 5_000
 const RETRY_MS = 200
-/** Writes of unknown outcome that this host remembers. */
+/** Writes of unknown outcome that this host keeps in memory. */
 const MAX_UNRESOLVED = 1_000
 
 interface ChangeLogOptions {
@@ -33,10 +33,10 @@
  * Operators' writes as entries of the platform's change log.
  *
  * Guards against an answer that is lost after the write took effect: change n+1 is the creation of
- * one key, which is never deleted, so the write whose id stands in that key made the change. The
- * key is read, and what stands there is adopted as it stands; a write that lost its key can never
- * take effect there later, even if its message is still on the way, and goes on to the next one.
- * Where the key can't be read, the writer is told `unknown`, never that it was refused.
+ * one key, which is never deleted, so the write whose id is stored under that key made the change. The key is read,
+ * and the change stored there is adopted unchanged. A write that did not get its key can never take effect there
+ * later, even if its message is still in transit, and is tried with the next key. Where the key can't be read, the
+ * writer gets `unknown`, never a refusal.
  */
 export class ChangeLog {
   /** Writes of unknown outcome, by the one revision that each can still become. */
@@ -46,7 +46,7 @@
 
   constructor (private readonly options: ChangeLogOptions) {}
 
-  /** Writes of one host go one after the other, so that they do not race each other. */
+  /** Tail of the queue of writes: those of one host run one after the other, so that they do not race each other. */
   async submit (write: Write, signal: AbortSignal): Promise<WriteOutcome> {
     const deadline = this.options.clock.getNow() + RESOLVE_MS
     const begunAt = this.options.store.current.revision
@@ -55,7 +55,7 @@
     return await result
   }
 
-  /** What became of a write, as far as the platform can tell now. */
+  /** Looks up the outcome of a write, as far as the platform can give it now. */
   async findWrite (writeId: string, signal: AbortSignal): Promise<WriteAnswer> {
     const { store } = this.options
     const known = store.findWrite(writeId)
@@ -94,7 +94,7 @@
     }
   }
 
-  /** A write that is in the log already: this one, sent before, unless its id was used twice. */
+  /** Outcome for a write id that is already in the log: an earlier copy of this write, unless the id was used for two writes. */
   private resolveRepeat (write: Write, revision: number): WriteOutcome {
     const { writeId } = write
     const made = this.options.store.listChanges(revision - 1, 1)?.[0]?.change
@@ -108,7 +108,7 @@
     for (const listener of this.listeners) listener(change.revision)
   }
 
-  /** The latest change to the same resource since the write began. */
+  /** Finds the latest change to the same resource since the write began. */
   private findLostTo (write: Write, begunAt: number): number | undefined {
     const [kind, name] = write.action === 'put' ? [write.resource.kind, write.resource.name] : [write.kind, write.name]
     const changes = this.options.store.listChanges(begunAt, Infinity) ?? []
@@ -118,7 +118,7 @@
     })?.change.revision
   }
 
-  /** A refusal stands only on the newest configuration that can be had; a host may lag. */
+  /** Fetches the newest configuration before a refusal, as this host may lag. */
   private async tryAdvance (signal: AbortSignal): Promise<boolean> {
     const before = this.options.store.current.revision
     await this.tryRepair(signal)
--- a/packages/almondrelay/src/process/configuration/checkResource.ts
+++ b/packages/almondrelay/src/process/configuration/checkResource.ts
@@ -10,7 +10,7 @@
 
 const MAX_PROBLEMS = 20
 
-/** Problems of a resource in the configuration that would hold it; none where it fits. */
+/** Lists the problems of a resource within the configuration that would contain it; empty where it is valid. */
 export function checkResource (resource: Resource, after: Configuration): ResourceProblem[] {
   const index = new ReferenceIndex(after)
   const missing = listReferences(resource)
--- a/packages/almondrelay/src/process/configuration/computeBackoff.ts
+++ b/packages/almondrelay/src/process/configuration/computeBackoff.ts
@@ -4,8 +4,8 @@
 const LONGEST_MS = 5_000
 
 /**
- * Wait before attempt `failures + 1`: doubled each time up to 5 s, then spread over the upper half,
- * so that hosts that lost the platform together do not come back to it together.
+ * Computes the delay before attempt `failures + 1`: doubled each time up to 5 s, then spread over its upper half,
+ * so that hosts that lost the platform at the same time do not all reconnect at the same time.
  */
 export function computeBackoff (failures: number, random: Random): number {
   const longest = Math.min(LONGEST_MS, FIRST_MS * 2 ** Math.min(failures, 16))
--- a/packages/almondrelay/src/process/configuration/configurationStore.ts
+++ b/packages/almondrelay/src/process/configuration/configurationStore.ts
@@ -7,9 +7,9 @@
 
 /** Changes kept for peers and watches: at 19,000 changes a day, over an hour of them. */
 const MAX_KEPT_CHANGES = 1_024
-/** Bound on their memory; one change may be as long as a megabyte. */
+/** Bound on the memory of the kept changes; one change may be as long as a megabyte. */
 const MAX_KEPT_BYTES = 16 * 1_048_576
-/** Write ids kept, so that a repeated write is known: half a day of them. */
+/** Write ids kept, so that a repeated write is recognised: half a day of them. */
 const MAX_KEPT_WRITES = 10_000
 /** Write ids passed on in a snapshot: about 60 KB. */
 const MAX_SNAPSHOT_WRITES = 1_000
@@ -17,9 +17,8 @@
 type Listener = (configuration: Configuration) => void
 
 /**
- * The configuration in force on this host. It only goes up: change n+1 is adopted on n alone and a
- * snapshot only where it is higher, so neither a late message nor a lagging peer can take a
- * revision back.
+ * The configuration in force on this host. Its revision only increases: change n+1 is adopted on revision n alone, and a
+ * snapshot only if its revision is higher, so neither a late message nor a lagging peer can revert a revision.
  */
 export class ConfigurationStore {
   private configuration = Configuration.empty
@@ -32,7 +31,7 @@
   /** @param listGiven resources that are declared elsewhere, as now; none of their kinds is written here */
   constructor (private readonly listGiven: () => readonly Resource[] = () => []) {}
 
-  /** What is in force, with the resources that are declared elsewhere. */
+  /** The configuration in force, with the resources that are declared elsewhere. */
   get view (): Configuration {
     return this.configuration.withGiven(this.listGiven())
   }
@@ -45,7 +44,7 @@
     return this.configuration
   }
 
-  /** False until the platform or a peer has answered with all that it has; see `loadFirstConfiguration`. */
+  /** False until the platform or a peer has answered with its full configuration; see `loadFirstConfiguration`. */
   get isReady (): boolean {
     return this.ready
   }
@@ -56,7 +55,7 @@
     this.notifyListeners()
   }
 
-  /** Takes the change if it is the one right after the revision in force. */
+  /** Adopts the change if it directly follows the revision in force. */
   adoptChange (change: Change, body: string = encodeChange(change)): boolean {
     const next = this.configuration.apply(change)
     if (next === undefined) return false
@@ -67,7 +66,7 @@
     return true
   }
 
-  /** Takes the snapshot if its revision is higher than the one in force. */
+  /** Adopts the snapshot if its revision is higher than the one in force. */
   adoptSnapshot (snapshot: ConfigurationSnapshot): boolean {
     if (snapshot.revision <= this.configuration.revision) return false
     this.configuration = Configuration.restore(snapshot.revision, snapshot.resources)
@@ -83,19 +82,19 @@
     return { revision: this.configuration.revision, resources: this.configuration.listAll(), writes }
   }
 
-  /** The changes after a revision, oldest first; undefined where they are no longer all kept. */
+  /** Lists the changes after a revision, oldest first; undefined where some of them are no longer kept. */
   listChanges (after: number, max: number): KeptChange[] | undefined {
     const oldest = this.configuration.revision - this.kept.length
     if (after < oldest) return undefined
     return this.kept.slice(after - oldest, after - oldest + max)
   }
 
-  /** The revision that a write made; undefined where it isn't among the kept ones. */
+  /** Returns the revision that a write created; undefined where its id is no longer kept. */
   findWrite (writeId: string): number | undefined {
     return this.writes.get(writeId)
   }
 
-  /** Calls the listener after each step up, until the signal aborts. */
+  /** Calls the listener after each increase of the revision, until the signal aborts. */
   subscribe (listener: Listener, signal: AbortSignal): void {
     if (signal.aborted) return
     this.listeners.add(listener)
--- a/packages/almondrelay/src/process/configuration/decideWrite.ts
+++ b/packages/almondrelay/src/process/configuration/decideWrite.ts
@@ -11,11 +11,11 @@
 type Decision = { change: Change } | { refusal: WriteOutcome }
 
 /**
- * Whether a write may become the change after `configuration`. Its checks hold for good once that
- * change is created, because a change is only ever applied on the revision it was checked against.
+ * Decides whether a write may become the change after `configuration`. The result of its checks stays valid once that
+ * change is created, because a change is only ever applied to the revision it was checked against.
  *
- * @param given resources that are declared elsewhere: they may be named, and their kinds can't be written
- * @param lostTo the revision of a change to the same resource that came in since the write began
+ * @param given resources that are declared elsewhere: they may be referenced, and their kinds can't be written
+ * @param lostTo the revision of a change to the same resource that was adopted since the write began
  */
 export function decideWrite (configuration: Configuration, write: Write, lostTo: number | undefined, writtenAt: number, given: readonly Resource[] = []): Decision {
   const { writeId } = write
--- a/packages/almondrelay/src/process/configuration/decodeChange.ts
+++ b/packages/almondrelay/src/process/configuration/decodeChange.ts
@@ -19,8 +19,8 @@
 ])
 
 /**
- * Reads a change that came from the platform or a peer and checks it whole, so that garbage, or
- * a change filed under another revision, is refused before it can be applied.
+ * Decodes and fully validates a change from the platform or a peer, so that invalid data, or a change stored under
+ * another revision, is refused before it can be applied.
  */
 export function decodeChange (body: string, revision: number): Change {
   const parsed = ChangeSchema.safeParse(parseJson(body))
--- a/packages/almondrelay/src/process/configuration/encodeChange.ts
+++ b/packages/almondrelay/src/process/configuration/encodeChange.ts
@@ -1,6 +1,6 @@
 import type { Change } from '../../version/resources/change.js'
 
-/** The form in which the platform keeps a change. */
+/** Encodes a change in the form that the platform stores. */
 export function encodeChange (change: Change): string {
   return JSON.stringify(change)
 }
--- a/packages/almondrelay/src/process/configuration/followPlatformChanges.ts
+++ b/packages/almondrelay/src/process/configuration/followPlatformChanges.ts
@@ -8,12 +8,12 @@
 import { decodeChange } from './decodeChange.js'
 import { repairFromPlatform } from './repairFromPlatform.js'
 
-/** How often a host that isn't a watcher asks whether it has become one. */
+/** Interval at which a host that isn't a watcher checks whether it has become one. */
 const IDLE_MS = 250
 /**
- * Longest wait of a watch, and so the longest time for which a watch that stopped reporting goes
- * unnoticed: the log is listed after each empty one. 160 watchers make 64 calls a second of it,
- * 3% of the platform's two thousand reads.
+ * Timeout of a watch, and so the longest time for which a watch that stopped reporting goes undetected: the log is
+ * listed after each watch without events. With it, 160 watchers make 64 calls a second, 3% of the two thousand
+ * reads a second that the platform serves.
  */
 const WATCH_MS = 5_000
 
@@ -27,7 +27,7 @@
   isWatcher: () => boolean
 }
 
-/** Keeps the store up with the platform's change log while this host is a watcher of its zone. */
+/** Applies the platform's change log to the store continuously while this host is a watcher of its zone. */
 export async function followPlatformChanges (options: FollowOptions, signal: AbortSignal): Promise<void> {
   const { clock, random, log, isWatcher } = options
   let failures = 0
@@ -49,7 +49,7 @@
 
 async function watchWhileWatcher (options: FollowOptions, markAnswered: () => void, signal: AbortSignal): Promise<void> {
   const { platform, store, isWatcher } = options
-  // The sequence is taken before the list, so that no change falls between the two.
+  // The sequence is read before the list, so that no change is missed between the two.
   let { sequence } = await platform.watch(changeKeys.prefix, -1, 0, signal)
   await repairFromPlatform(platform, store, signal)
   while (!signal.aborted && isWatcher()) {
--- a/packages/almondrelay/src/process/configuration/keptChange.ts
+++ b/packages/almondrelay/src/process/configuration/keptChange.ts
@@ -1,6 +1,6 @@
 import type { Change } from '../../version/resources/change.js'
 
-/** A change with its JSON form, which the platform keeps and peers pass on. */
+/** A change with its JSON form, which the platform stores and peers pass on. */
 export interface KeptChange {
   change: Change
   body: string
--- a/packages/almondrelay/src/process/configuration/listBrokenReferences.ts
+++ b/packages/almondrelay/src/process/configuration/listBrokenReferences.ts
@@ -5,7 +5,7 @@
 
 const MAX_PROBLEMS = 20
 
-/** Fields of other resources that name what is there before a change and no longer after it. */
+/** Lists the fields of other resources that name an object which exists before a change and no longer after it. */
 export function listBrokenReferences (before: Configuration, after: Configuration): ResourceProblem[] {
   const indexBefore = new ReferenceIndex(before)
   const indexAfter = new ReferenceIndex(after)
--- a/packages/almondrelay/src/process/configuration/listReferences.ts
+++ b/packages/almondrelay/src/process/configuration/listReferences.ts
@@ -4,7 +4,7 @@
 
 type To = Reference['to']
 
-/** Everything that a resource names and that has to exist. */
+/** Lists all references of a resource to objects that must exist. */
 export function listReferences (resource: Resource): Reference[] {
   return match(resource)
     .with({ kind: 'Region' }, () => [])
--- a/packages/almondrelay/src/process/configuration/listSchemaProblems.ts
+++ b/packages/almondrelay/src/process/configuration/listSchemaProblems.ts
@@ -4,7 +4,7 @@
 const MAX_PROBLEMS = 20
 const MAX_FOUND = 80
 
-/** The problems that a schema found in `spec`, each with its path, what stands there and the remedy. */
+/** Lists the problems that a schema found in `spec`, each with its path, the value found there and the remedy. */
 export function listSchemaProblems (error: z.ZodError, spec: unknown): ResourceProblem[] {
   return error.issues
     .flatMap((issue) => issue.code === 'unrecognized_keys' ? issue.keys.map((key) => ({ path: [...issue.path, key], remedy: 'remove it: there is no such field' })) : [{ path: issue.path, remedy: issue.message }])
--- a/packages/almondrelay/src/process/configuration/loadFirstConfiguration.ts
+++ b/packages/almondrelay/src/process/configuration/loadFirstConfiguration.ts
@@ -4,10 +4,10 @@
 import { computeBackoff } from './computeBackoff.js'
 import type { ConfigurationStore } from './configurationStore.js'
 
-/** Longest wait for the slower sources once one has answered. */
+/** Timeout for the slower sources once one has answered. */
 const SETTLE_MS = 2_000
 
-/** Brings the store up to all that a source has; false where the source has no configuration itself. Rejects without an answer. */
+/** Updates the store to the latest revision of a source; false where the source has no configuration itself. Rejects if it does not answer. */
 type Source = (signal: AbortSignal) => Promise<boolean>
 
 interface FirstConfigurationOptions {
@@ -22,9 +22,9 @@
 /**
  * Gives an empty host its first configuration and marks the store ready.
  *
- * Guards against serving on a revision that the host's callers have already seen passed: every
- * source that can be reached is asked, the highest revision wins, and the host isn't ready before.
- * A source that doesn't answer holds it up for two seconds at most once another one has.
+ * Guards against serving with a revision older than one that the host's callers have already seen: every reachable
+ * source is asked, the highest revision is adopted, and the host isn't ready before that. A source that doesn't answer
+ * delays the host by two seconds at most once another one has answered.
  */
 export async function loadFirstConfiguration (options: FirstConfigurationOptions, signal: AbortSignal): Promise<void> {
   const { store, clock, random, log } = options
--- a/packages/almondrelay/src/process/configuration/loadSnapshot.ts
+++ b/packages/almondrelay/src/process/configuration/loadSnapshot.ts
@@ -12,10 +12,10 @@
 const Chunk = z.array(resourceSchema)
 
 /**
- * The newest complete snapshot; undefined where there is none yet.
+ * Loads the newest complete snapshot; undefined where there is none yet.
  *
- * A chunk that is missing means that two newer snapshots were written since the manifest was
- * read, so the manifest is read again.
+ * A missing chunk means that two newer snapshots were written since the manifest was read, so the manifest is
+ * read again.
  */
 export async function loadSnapshot (platform: KeyValueStore, signal: AbortSignal): Promise<ConfigurationSnapshot | undefined> {
   for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
--- a/packages/almondrelay/src/process/configuration/reference.ts
+++ b/packages/almondrelay/src/process/configuration/reference.ts
@@ -1,4 +1,4 @@
-/** A field of a resource that names something else that must exist. */
+/** A field of a resource that names another object, which must exist. */
 export interface Reference {
   /** The field, such as `spec.from`. */
   path: string
@@ -6,6 +6,6 @@
   name: string
   /** The service of a target. */
   service?: string
-  /** Whether what it names may be taken away while it stands, as a drained target may. */
+  /** Whether the named object may be removed while the reference exists, as a drained target may. */
   isLoose: boolean
 }
--- a/packages/almondrelay/src/process/configuration/referenceIndex.ts
+++ b/packages/almondrelay/src/process/configuration/referenceIndex.ts
@@ -2,7 +2,7 @@
 import type { Configuration } from '../../version/configuration.js'
 import type { Reference } from './reference.js'
 
-/** What one configuration holds that references may name. */
+/** Index of the objects of one configuration that references may name. */
 export class ReferenceIndex {
   private readonly zones: ReadonlySet<string>
 
--- a/packages/almondrelay/src/process/configuration/repairFromPlatform.ts
+++ b/packages/almondrelay/src/process/configuration/repairFromPlatform.ts
@@ -8,8 +8,8 @@
 const PAGE = 32
 
 /**
- * Brings the store up to the end of the platform's change log. Rejects where the platform doesn't
- * answer, or where a change can't be read; the store then stays at the revision before it.
+ * Updates the store to the end of the platform's change log. Rejects if the platform doesn't answer or if a change
+ * can't be decoded; the store then stays at the revision before that change.
  */
 export async function repairFromPlatform (platform: KeyValueStore, store: ConfigurationStore, signal: AbortSignal): Promise<void> {
   if (store.current.revision === 0) await adoptLatestSnapshot(platform, store, signal)
--- a/packages/almondrelay/src/process/configuration/resourceProblem.ts
+++ b/packages/almondrelay/src/process/configuration/resourceProblem.ts
@@ -1,8 +1,8 @@
-/** What is wrong with a resource that an operator wrote. */
+/** A problem of a resource that an operator wrote. */
 export interface ResourceProblem {
   /** The field, such as `spec.weights.akl`. */
   path: string
-  /** What stands there, shortened. */
+  /** The value found there, shortened. */
   found: string
   /** What to write or do instead. */
   remedy: string
--- a/packages/almondrelay/src/process/configuration/resourceSchema.ts
+++ b/packages/almondrelay/src/process/configuration/resourceSchema.ts
@@ -12,7 +12,7 @@
   revision: Revision
 })
 
-/** A resource as changes and snapshots hold it. */
+/** Schema of a resource in changes and snapshots. */
 export const resourceSchema = z.discriminatedUnion('kind', [
   makeSchema(ResourceKind.service),
   makeSchema(ResourceKind.region),
--- a/packages/almondrelay/src/process/configuration/runSnapshotWriter.ts
+++ b/packages/almondrelay/src/process/configuration/runSnapshotWriter.ts
@@ -7,7 +7,7 @@
 
 /** Changes after which a new snapshot is due: about 75 snapshots a day at 19,000 changes. */
 const CHANGES_A_SNAPSHOT = 256
-/** A snapshot that is due and wasn't written is tried again by the host that makes the 32nd change from there. */
+/** A snapshot that is due and wasn't written is attempted again by the host that makes the 32nd change after that. */
 const CHANGES_A_TRY = 32
 
 interface SnapshotWriterOptions {
@@ -19,7 +19,7 @@
 
 /**
  * Writes a snapshot whenever one is due and this host has made a change whose revision is a
- * multiple of 32. Only one host made that change, so only one host writes, without a vote.
+ * multiple of 32. Only one host made that change, so only one host writes, without an election.
  */
 export async function runSnapshotWriter (options: SnapshotWriterOptions, signal: AbortSignal): Promise<void> {
   const { platform, store, changeLog, log } = options
--- a/packages/almondrelay/src/process/configuration/saveSnapshot.ts
+++ b/packages/almondrelay/src/process/configuration/saveSnapshot.ts
@@ -6,10 +6,10 @@
 import { splitSnapshot } from './splitSnapshot.js'
 
 /**
- * Writes a snapshot in chunks and then its manifest, by compare-and-swap and only upwards.
+ * Writes a snapshot in chunks and then its manifest, by compare-and-swap and only to a higher revision.
  *
- * Guards against a host that dies half way: the manifest still names the snapshot before, whole,
- * because it moves only after the last chunk. Returns the revision that the manifest then names.
+ * Guards against a host that fails half way: the manifest still names the complete previous snapshot,
+ * because it is updated only after the last chunk. Returns the revision that the manifest then names.
  */
 export async function saveSnapshot (platform: KeyValueStore, snapshot: ConfigurationSnapshot, signal: AbortSignal): Promise<number> {
   const entry = await platform.get(changeKeys.manifest, signal)
--- a/packages/almondrelay/src/process/configuration/snapshotManifest.ts
+++ b/packages/almondrelay/src/process/configuration/snapshotManifest.ts
@@ -8,7 +8,7 @@
 /** Names the newest complete snapshot; written after its last chunk. */
 const SnapshotManifest = SnapshotParts.extend({
   writes: z.array(z.object({ writeId: z.string(), revision: z.number().int() })),
-  /** The snapshot before; its chunks stay for readers that began with it. */
+  /** The previous snapshot; its chunks are kept for readers that began with it. */
   previous: SnapshotParts.optional()
 })
 
--- a/packages/almondrelay/src/process/configuration/splitSnapshot.ts
+++ b/packages/almondrelay/src/process/configuration/splitSnapshot.ts
@@ -1,7 +1,7 @@
 import type { Resource } from '../../version/resources/resource.js'
 
 /**
- * Splits resources into JSON arrays of at most `maxBytes` each. The order is that of kind and
+ * Splits resources into JSON arrays of at most `maxBytes` each. They are sorted by kind and
  * name, so that two hosts that write the snapshot of one revision write the same chunks.
  */
 export function splitSnapshot (resources: readonly Resource[], maxBytes: number): string[] {
--- a/packages/almondrelay/src/process/configuration/status/computeResourceStatus.ts
+++ b/packages/almondrelay/src/process/configuration/status/computeResourceStatus.ts
@@ -6,7 +6,7 @@
 
 type Figures = Pick<ResourceStatus, 'workLeft' | 'carried' | 'limit'>
 
-/** The status of a resource out of what is known of every zone. */
+/** Computes the status of a resource from the status of every zone. */
 export function computeResourceStatus (resource: Resource, zones: readonly ZoneStatus[], hooks: StatusHooks): ResourceStatus {
   const inForce = zones.map(({ availabilityZone, revision }) => {
     const zone = { availabilityZone, isInForce: revision !== undefined && revision >= resource.revision }
--- a/packages/almondrelay/src/process/configuration/status/computeZoneStatuses.ts
+++ b/packages/almondrelay/src/process/configuration/status/computeZoneStatuses.ts
@@ -3,9 +3,9 @@
 import type { ZoneStatus } from './zoneStatus.js'
 
 /**
- * Sums up by availability zone which revision is in force, and which hosts lag or can't be reached.
+ * Summarises by availability zone which revision is in force, and which hosts lag or can't be reached.
  *
- * @param newest the revision in force here; what others claim beyond it isn't believed before it is fetched
+ * @param newest the revision in force here; a higher revision that peers report doesn't count before it is fetched
  */
 export function computeZoneStatuses (members: readonly Member[], newest: number): ZoneStatus[] {
   const zones = new Map<string, Member[]>()
--- a/packages/almondrelay/src/process/configuration/status/resourceStatus.ts
+++ b/packages/almondrelay/src/process/configuration/status/resourceStatus.ts
@@ -5,9 +5,9 @@
   isInForce: boolean
 }
 
-/** What holds of a resource, not what was asked for. */
+/** Observed status of a resource, as opposed to its requested state. */
 export interface ResourceStatus {
-  /** Whether every host that is known has the revision that last changed it. */
+  /** Whether every known host has the revision that last changed the resource. */
   isInForce: boolean
   zones: ZoneInForce[]
   laggingHosts: string[]
--- a/packages/almondrelay/src/process/configuration/write.ts
+++ b/packages/almondrelay/src/process/configuration/write.ts
@@ -1,12 +1,12 @@
 import type { Resource } from '../../version/resources/resource.js'
 import type { ResourceKind } from '../../version/resources/resourceKind.js'
 
-/** What an operator asks to have changed, its form already checked. */
+/** An operator's request for a change, already checked against the schema. */
 export type Write = {
-  /** UUID by which the writer can ask later, and which makes a repeat harmless. */
+  /** UUID by which the writer can query the outcome later, and which makes a repeat idempotent. */
   writeId: string
   author: string
-  /** Only where the resource is at this revision; 0 stands for an absent one. Any where undefined. */
+  /** The write applies only if the resource is at this revision; 0 means that it is absent. Any revision if undefined. */
   expectedRevision?: number
 } & (
   | { action: 'put', resource: Resource }
--- a/packages/almondrelay/src/process/configuration/writeRecord.ts
+++ b/packages/almondrelay/src/process/configuration/writeRecord.ts
@@ -1,4 +1,4 @@
-/** Which revision a write made. */
+/** The revision that a write created. */
 export interface WriteRecord {
   writeId: string
   revision: number
--- a/packages/almondrelay/src/process/lookup/lookupAnswerer.ts
+++ b/packages/almondrelay/src/process/lookup/lookupAnswerer.ts
@@ -22,17 +22,17 @@
   ttlMs: number
 }
 
-/** Hosts named in one answer; each costs 150 bytes, and a caller tries no more. */
+/** Hosts in one answer; each adds 150 bytes, and a caller tries no more than these. */
 const MAX_HOSTS = 6
-/** Age at which weights are computed anew, in milliseconds; look-ups in between draw from the same ones. */
+/** Age at which weights are computed again, in milliseconds; look-ups until then draw from the same weights. */
 const WEIGHTS_MS = 100
-/** `computeLookupAnswer` spreads times to live up to this factor of the mean. */
+/** `computeLookupAnswer` spreads TTLs up to this factor of the mean. */
 const LONGEST_TTL = 1.25
 
 /**
- * Answers callers' look-ups: the entry hosts of the caller's region, in an order drawn by weight, or
- * of other regions where none of them can be reached. Work is shifted between regions by the hosts, with
- * credits and under the caps, not by sending callers there.
+ * Answers callers' look-ups with the entry hosts of the caller's region, in a random order drawn by weight, or
+ * with those of other regions where none of them can be reached. The hosts shift work between regions, with
+ * credits and under the caps; look-ups do not direct callers to other regions for that.
  */
 export class LookupAnswerer {
   private readonly weights = new Map<string, LookupAnswer>()
@@ -41,12 +41,12 @@
 
   constructor (private readonly parts: LookupParts) {}
 
-  /** Longest time for which a caller may keep an answer, in milliseconds. */
+  /** Longest time for which a caller may cache an answer, in milliseconds. */
   get maxTtlMs (): number {
     return this.parts.ttlMs * LONGEST_TTL
   }
 
-  /** `from`: the client's IP number, where the caller asks for one. */
+  /** Answers a look-up. `from` is the client's IP address, where the caller asks on behalf of a client. */
   answer (service: string, from: string | undefined): LookupResult {
     const { services, directory, random } = this.parts
     const { configuration } = services
@@ -82,7 +82,7 @@
     return weights
   }
 
-  /** A host that leaves or can't be reached is out at once, not with the next weights. */
+  /** A host that leaves or can't be reached is excluded at once, not only when the weights are computed again. */
   private isEveryHostUsable (weights: LookupAnswer): boolean {
     return weights.hosts.every(({ host }) => isUsable(this.parts.directory.find(host)))
   }
@@ -105,7 +105,7 @@
   return host !== undefined && host.reachable && !host.gone && !host.leaving
 }
 
-/** Where no host has told of slots yet, all count alike. */
+/** Describes a host for the computation of weights. Where no host has reported slots yet, all count alike. */
 function describeView (host: KnownHost, service: string, hasSlots: boolean): HostView {
   return {
     name: host.name,
--- a/packages/almondrelay/src/process/lookup/lookupResult.ts
+++ b/packages/almondrelay/src/process/lookup/lookupResult.ts
@@ -7,7 +7,7 @@
   weight: number
 }
 
-/** What a look-up is answered with. */
+/** Result of a look-up. */
 export type LookupResult =
   | { kind: 'answer', answer: { revision: number, ttlMs: number, hosts: LookupHost[] } }
   | { kind: 'unknown-service' }
--- a/packages/almondrelay/src/process/membership/__fixtures__/testMembership.ts
+++ b/packages/almondrelay/src/process/membership/__fixtures__/testMembership.ts
@@ -3,7 +3,7 @@
 
 const INCARNATION = 1_790_000_000_000
 
-/** A summary of a host named `<region>-<zone>-<n>`. */
+/** Makes a summary of a host named `<region>-<zone>-<n>`. */
 function makeSummary (host: string, changed: Partial<Summary> = {}): Summary {
   const [region = '', zone = ''] = host.split('-')
   const address = `10.0.0.1:${1_000 + Number(host.replace(/\D/g, ''))}`
@@ -28,5 +28,5 @@
   return new Membership({ self: makeSummary(host), heartbeatMs: 250, suspectAfterMs: 1_000 })
 }
 
-/** A membership as seen by one host, and summaries to feed it with. */
+/** A membership as seen by one host, and summaries to pass to it. */
 export const testMembership = { INCARNATION, makeSummary, createMembership }
--- a/packages/almondrelay/src/process/membership/__tests__/membership.test.ts
+++ b/packages/almondrelay/src/process/membership/__tests__/membership.test.ts
@@ -40,8 +40,8 @@
   assert.is(membership.getMember('akl-a-2', 10)?.state, 'gone')
 })
 
-// A connection attempt to a dead process fails, while the process that replaced it has already
-// spoken. The refusal is of the old one; taking it for the new one would free what it holds.
+// A connection attempt to a process that has exited is refused after a report from its replacement has arrived.
+// If the refusal counted against the new incarnation, resources that it holds would be freed.
 test('a refusal that arrives after the next incarnation spoke does not end that one', () => {
   const membership = createMembership('akl-a-1')
   receiveHeartbeat(membership, makeSummary('akl-a-2'), 0)
@@ -61,8 +61,8 @@
   assert.is(gone.length, 1)
 })
 
-// Two processes are started with one name by mistake, or an old one wakes after it was replaced.
-// Callers would be sent to one and answered by the other; so only the newest is taken in.
+// Two processes are started with one name by mistake, or a paused process resumes after it was replaced.
+// Callers would be sent to one and answered by the other, so only the newest incarnation is accepted.
 test('a host that is not what it says is refused', () => {
   const membership = createMembership('akl-a-1')
   receiveHeartbeat(membership, makeSummary('akl-a-2'), 0)
@@ -93,9 +93,9 @@
   assert.is(membership.getMember('akl-a-2', 1_000)?.state, 'gone')
 })
 
-// One host can't reach another, which everybody else can; or it once could not, and is no neighbour
-// of it any more. It went on telling that the host is silent, beside the others' newest word of it,
-// and a live host stayed suspected for good (found by fleetFaults.test.ts, seed 15).
+// One host can't reach another that all its peers can reach, or it could not earlier and is no longer its neighbour.
+// If it kept reporting the host as silent together with the peers' newest report, a live host would stay suspected
+// permanently (found by fleetFaults.test.ts, seed 15).
 test('a host that others hear is not told as silent', () => {
   const membership = createMembership('akl-a-1')
   receiveHeartbeat(membership, makeSummary('akl-a-2'), 0)
@@ -109,8 +109,8 @@
   assert.is(membership.getSummary('akl-a-2', 1_600)?.isSilent, false)
 })
 
-// A process is slow: its heartbeats come late, out of order, or are told by others with any age,
-// and calls to it time out. Whatever the order, without evidence it must never be declared gone.
+// A process is slow: its heartbeats arrive late, out of order, or through peers with any age, and calls to it
+// time out. In any order of these, the process must never be declared gone without evidence.
 test('no order of late, lost and repeated word makes a host gone without evidence (seed 11)', () => {
   const step = fc.record({
     kind: fc.constantFrom('heartbeat', 'silence', 'summary', 'advance', 'plan'),
--- a/packages/almondrelay/src/process/membership/checkSender.ts
+++ b/packages/almondrelay/src/process/membership/checkSender.ts
@@ -3,7 +3,7 @@
 import type { MemberEntry } from './memberEntry.js'
 import type { Summary } from './summary.js'
 
-/** Whether a sender is who it says, by what is known under its name and what it tells of itself. */
+/** Checks a sender's identity against the known entry of that name and the summary that the sender gives of itself. */
 export function checkSender (sender: HeartbeatSender, told: Summary | undefined, entry: MemberEntry | undefined, ownName: string): HeartbeatVerdict {
   if (sender.host === ownName) return HeartbeatVerdict.nameTaken
   if (entry === undefined || sender.incarnation > entry.incarnation) return HeartbeatVerdict.accepted
--- a/packages/almondrelay/src/process/membership/chooseRing.ts
+++ b/packages/almondrelay/src/process/membership/chooseRing.ts
@@ -1,17 +1,17 @@
-/** Rings up to this size are joined all to all. */
+/** Rings up to this size are fully meshed. */
 const ALL_TO_ALL = 5
 
 interface RingDistances {
-  /** To the next on either side. */
+  /** Distances to the next member on either side. */
   near: number[]
-  /** Chords, so that word crosses the ring in few steps. */
+  /** Chords, so that a change crosses the ring in few steps. */
   far: number[]
 }
 
 /**
- * Distances on a ring of `size` at which a member has its neighbours: the next on either side and
- * one chord of the square root on either side, so four neighbours at any size. What one member
- * learns reaches 60 in at most 8 steps.
+ * Chooses the distances on a ring of `size` at which a member has its neighbours: the next one on either side and
+ * one chord of the square root of `size` on either side, so four neighbours at any size. A change known to one member
+ * reaches all of a ring of 60 in at most 8 steps.
  */
 export function chooseRing (size: number): RingDistances {
   if (size <= 1) return { near: [], far: [] }
--- a/packages/almondrelay/src/process/membership/describeMember.ts
+++ b/packages/almondrelay/src/process/membership/describeMember.ts
@@ -2,7 +2,7 @@
 import type { Member } from './member.js'
 import type { MemberEntry } from './memberEntry.js'
 
-/** What is known of another host at one moment. */
+/** Returns a snapshot of the known state of another host. */
 export function describeMember (entry: MemberEntry, isSilent: boolean, now: number): Member {
   const { host, incarnation, availabilityZone, region, callerAddress, peerAddress, revision, loads } = entry
   const state = computeMemberState(entry, isSilent)
--- a/packages/almondrelay/src/process/membership/describeSelf.ts
+++ b/packages/almondrelay/src/process/membership/describeSelf.ts
@@ -2,7 +2,7 @@
 import type { MemberEntry } from './memberEntry.js'
 import { MemberState } from './memberState.js'
 
-/** This host among the members; it is never silent to itself. */
+/** Returns this host as a member; it never suspects itself. */
 export function describeSelf (entry: MemberEntry): Member {
   const { host, incarnation, availabilityZone, region, callerAddress, peerAddress, revision, loads } = entry
   const state = entry.isLeaving ? MemberState.leaving : MemberState.live
--- a/packages/almondrelay/src/process/membership/describeSummary.ts
+++ b/packages/almondrelay/src/process/membership/describeSummary.ts
@@ -1,7 +1,7 @@
 import type { MemberEntry } from './memberEntry.js'
 import type { Summary } from './summary.js'
 
-/** What to tell of a host; undefined where nothing was heard of it. A host knows itself as of now. */
+/** Makes the summary of a host to send to peers; undefined where no report of it was received. The age of a host's own summary is 0. */
 export function describeSummary (entry: MemberEntry | undefined, isSelf: boolean, now: number): Summary | undefined {
   if (entry === undefined || entry.incarnation === 0) return undefined
   const { host, incarnation, availabilityZone, region, callerAddress, peerAddress, revision, isLeaving, isGone, isSilent, loads } = entry
--- a/packages/almondrelay/src/process/membership/goneEvidence.ts
+++ b/packages/almondrelay/src/process/membership/goneEvidence.ts
@@ -1,12 +1,12 @@
-/** What shows that an incarnation has ended; silence is none of these. */
+/** Evidence that an incarnation has exited; silence is no evidence. */
 const GoneEvidence = {
   /** Its address refuses connections, so no process listens there. */
   refused: 'refused',
-  /** A newer incarnation of it speaks. */
+  /** A report of a newer incarnation was received. */
   newerIncarnation: 'newer-incarnation',
-  /** It said that it has left. */
+  /** The incarnation announced that it has left. */
   announced: 'announced',
-  /** Another host has the evidence. */
+  /** A peer reported that it has the evidence. */
   told: 'told'
 } as const
 
--- a/packages/almondrelay/src/process/membership/heartbeatSender.ts
+++ b/packages/almondrelay/src/process/membership/heartbeatSender.ts
@@ -1,4 +1,4 @@
 import type { Summary } from './summary.js'
 
-/** What each message says of its sender. */
+/** Identity and revision of the sender, which each message carries. */
 export type HeartbeatSender = Pick<Summary, 'host' | 'incarnation' | 'availabilityZone' | 'region' | 'revision'>
--- a/packages/almondrelay/src/process/membership/leavingSource.ts
+++ b/packages/almondrelay/src/process/membership/leavingSource.ts
@@ -1,10 +1,10 @@
 import type { LeavingTargets } from './leavingTargets.js'
 
 /**
- * One source of word on leaving targets, such as the host list or the targets themselves.
+ * One source of reports on leaving targets, such as the host list or the targets themselves.
  *
- * Failure: two sources differ, as the list lags, and a target goes in and out of use with each poll. Only
- * a change of a source's own word is passed on, so what the other source said stands until then.
+ * Guards against a target that goes in and out of use with each poll because two sources differ, as the host list lags.
+ * Only a change in a source's own reports is passed on, so the report of the other source applies until then.
  */
 export class LeavingSource {
   private readonly said = new Set<string>()
--- a/packages/almondrelay/src/process/membership/leavingTargets.ts
+++ b/packages/almondrelay/src/process/membership/leavingTargets.ts
@@ -1,11 +1,11 @@
 import { NewsBoard } from './newsBoard.js'
 
-/** Word that a target takes no new work, or takes it again. */
+/** Report that a target takes no new work, or takes it again. */
 interface LeavingTarget {
   service: string
   target: string
   isLeaving: boolean
-  /** Age of this word when it was sent, in milliseconds. */
+  /** Age of this report when it was sent, in milliseconds. */
   ageMs: number
 }
 
@@ -16,15 +16,15 @@
   saidAt: number
 }
 
-/** Word is dropped after this long without being said anew; a target that has left is gone from its Service by then. */
+/** A report expires at this age unless it is repeated; by then a target that has left is no longer in its Service. */
 const FORGET_AFTER_MS = 600_000
 
-/** Which targets say, or are said, to be leaving; the latest word of each holds. */
+/** Targets that are leaving, by their own report or by that of another source; the latest report of each applies. */
 export class LeavingTargets {
   readonly news = new NewsBoard()
   private readonly entries = new Map<string, Entry>()
 
-  /** Takes word from a target itself, from the host list, or from a peer. True where it changed something. */
+  /** Records a report from a target itself, from the host list or from a peer. Returns whether it changed the state of the target. */
   observe (word: LeavingTarget, now: number): boolean {
     const key = `${word.service}/${word.target}`
     const known = this.entries.get(key)
--- a/packages/almondrelay/src/process/membership/listTries.ts
+++ b/packages/almondrelay/src/process/membership/listTries.ts
@@ -1,6 +1,6 @@
 import type { MemberEntry } from './memberEntry.js'
 
-/** Hosts that may be there and were never heard, or were gone and are on the platform's list: the one tried longest ago first. */
+/** Lists the hosts to probe: those without any report so far, and gone ones that the platform's host list names. The one with the oldest failed attempt comes first. */
 export function listTries (entries: Iterable<MemberEntry>): MemberEntry[] {
   return [...entries]
     .filter((entry) => entry.heardAt === -Infinity || (entry.isGone && entry.listedAt > -Infinity))
--- a/packages/almondrelay/src/process/membership/listedHost.ts
+++ b/packages/almondrelay/src/process/membership/listedHost.ts
@@ -1,4 +1,4 @@
 import type { Summary } from './summary.js'
 
-/** A host as the settings or the platform's list name it. */
+/** A host as named by the settings or the platform's host list. */
 export type ListedHost = Pick<Summary, 'host' | 'availabilityZone' | 'region' | 'callerAddress' | 'peerAddress' | 'isLeaving'>
--- a/packages/almondrelay/src/process/membership/makeMemberEntry.ts
+++ b/packages/almondrelay/src/process/membership/makeMemberEntry.ts
@@ -1,7 +1,7 @@
 import type { ListedHost } from './listedHost.js'
 import type { MemberEntry } from './memberEntry.js'
 
-/** An entry of a host that was never heard. */
+/** Makes the entry of a host from which no report was received yet. */
 export function makeMemberEntry (listed: ListedHost): MemberEntry {
   const { host, availabilityZone, region, callerAddress, peerAddress } = listed
   return {
--- a/packages/almondrelay/src/process/membership/member.ts
+++ b/packages/almondrelay/src/process/membership/member.ts
@@ -1,10 +1,10 @@
 import type { MemberState } from './memberState.js'
 import type { ServiceLoad } from './serviceLoad.js'
 
-/** What is known of one entry host at one moment. */
+/** Snapshot of the known state of one entry host. */
 export interface Member {
   host: string
-  /** 0 where it was never heard. */
+  /** 0 where no report was ever received. */
   incarnation: number
   availabilityZone: string
   region: string
@@ -12,11 +12,11 @@
   callerAddress: string
   /** Empty where unknown. */
   peerAddress: string
-  /** The revision in force there, as last heard. */
+  /** The revision in force there, as last reported. */
   revision: number
-  /** Free slots and running work by service, as last heard. */
+  /** Free slots and running work by service, as last reported. */
   loads: ServiceLoad[]
   state: MemberState
-  /** Time since it was last heard, by this host or by one that told it, in milliseconds. */
+  /** Age of the last report from the host, received directly or through a peer, in milliseconds. */
   heardAgeMs: number
 }
--- a/packages/almondrelay/src/process/membership/memberEntry.ts
+++ b/packages/almondrelay/src/process/membership/memberEntry.ts
@@ -1,19 +1,19 @@
 import type { Summary } from './summary.js'
 
-/** What is kept of one host; `ageMs` of a summary becomes `heardAt`. */
+/** Stored state of one host; `ageMs` of a summary becomes `lastReportAt`. */
 export interface MemberEntry extends Omit<Summary, 'ageMs' | 'isSilent'> {
-  /** When it last spoke, to this host or to one that told of it; -Infinity where never. */
+  /** Time of the last report from the host, received directly or through a peer; -Infinity where there was none. */
   heardAt: number
-  /** When it last spoke to this host. */
+  /** Time of the last report that this host received directly. */
   directAt: number
-  /** A neighbour of it, perhaps this host, has found it silent since `heardAt`. */
+  /** A neighbour of the host, perhaps this one, has found it silent since `lastReportAt`. */
   isSilent: boolean
-  /** Tries of this host in a row that were not answered, and when the first of them failed. */
+  /** Consecutive attempts by this host that were not answered, and the time at which the first of them failed. */
   failures: number
   failedSince: number
-  /** When this host last tried it in vain. */
+  /** Time of this host's last failed attempt to reach it. */
   triedAt: number
-  /** When the host list last named it; Infinity where the settings do, -Infinity where nothing does. */
+  /** Time at which the host list last named it; Infinity where the settings name it, -Infinity where neither does. */
   listedAt: number
   /** The host list says that it is leaving. */
   isListedLeaving: boolean
--- a/packages/almondrelay/src/process/membership/memberState.ts
+++ b/packages/almondrelay/src/process/membership/memberState.ts
@@ -1,14 +1,14 @@
-/** What is known of a host. Only `gone` is definitive; it alone frees what the host held. */
+/** Known state of a host. Only `gone` is definitive; no other state frees what the host held. */
 const MemberState = {
-  /** Heard of lately. */
+  /** A report was received lately. */
   live: 'live',
-  /** Silent for too long: gets no new work, and frees nothing. */
+  /** No report for too long: the host gets no new work, and nothing that it holds is freed. */
   suspected: 'suspected',
-  /** Announced that it is leaving: gets no new work, and still finishes what it has. */
+  /** Announced that it is leaving: the host gets no new work and finishes the work it has. */
   leaving: 'leaving',
-  /** Known from settings or the host list alone; never heard. */
+  /** Known only from the settings or the host list; no report was received yet. */
   unheard: 'unheard',
-  /** Definitive evidence says that this incarnation's process has ended. */
+  /** Definitive evidence shows that the process of this incarnation has exited. */
   gone: 'gone'
 } as const
 
--- a/packages/almondrelay/src/process/membership/membership.ts
+++ b/packages/almondrelay/src/process/membership/membership.ts
@@ -22,24 +22,24 @@
 import type { Summary } from './summary.js'
 
 /**
- * Age at which word of a host is dropped. It frees nothing; it bounds memory and keeps old word
- * from bringing back a host whose end is already forgotten.
+ * Age at which the state of a host is dropped. Dropping it frees nothing that the host holds; it bounds memory, and old
+ * reports are refused so that they don't restore a host whose exit is no longer recorded.
  */
 const FORGET_AFTER_MS = 3_600_000
 
-/** Silence is judged anew this often, so that asking of one member for each request costs little. */
+/** Interval at which silence is evaluated again, so that looking up one member for each request costs little. */
 const JUDGE_EVERY_MS = 50
 
-/** Two words of a host whose times differ by less are of the same heartbeat, told along two ways. */
+/** Two reports of a host whose times differ by less than this stem from the same heartbeat, received over two paths. */
 const SAME_WORD_MS = 200
 
 /**
- * The entry hosts that are known, and what is known of each.
+ * The known entry hosts and the last known state of each.
  *
- * Suspicion and evidence stand apart. Silence makes a host suspected: it gets no new work, and
- * nothing that it holds is freed, because a process that is paused, slow or cut off is silent too
- * and wakes later. Only evidence makes an incarnation gone, and gone is never taken back: its
- * address refuses connections, a newer incarnation speaks, or it said that it has left.
+ * Suspicion and evidence are separate. A host without reports is suspected: it gets no new work, but nothing that it
+ * holds is freed, because a process that is paused, slow or partitioned sends no reports either and may resume later.
+ * Only evidence makes an incarnation gone, and `gone` is never revoked: its address refuses connections, a report of
+ * a newer incarnation was received, or it announced that it has left.
  */
 export class Membership {
   private readonly entries = new Map<string, MemberEntry>()
@@ -58,12 +58,12 @@
     return () => { this.listeners.delete(listener) }
   }
 
-  /** Takes a host that the settings name; it is never forgotten. */
+  /** Adds a host that the settings name; its entry never expires. */
   addSeed (seed: ListedHost): void {
     this.observeListed(seed, Infinity)
   }
 
-  /** Takes a host from the platform's list, which lags: it adds, and takes nothing away. */
+  /** Adds or updates a host from the platform's host list. The list lags, so a host that is absent from it is not removed. */
   observeListed (listed: ListedHost, now: number): void {
     if (listed.host === this.options.self.host) return
     const entry = this.entries.get(listed.host)
@@ -76,7 +76,7 @@
     if (entry.heardAt === -Infinity || entry.isGone) Object.assign(entry, { callerAddress: listed.callerAddress, peerAddress: listed.peerAddress })
   }
 
-  /** A host speaks to this one; refuses one that is not what it says. `told` is its word of itself. */
+  /** Records a heartbeat from a host, unless its identity check fails. `ownSummary` is the summary that the host gives of itself. */
   observeHeartbeat (sender: HeartbeatSender, told: Summary | undefined, now: number): HeartbeatVerdict {
     const entry = this.entries.get(sender.host)
     const verdict = checkSender(sender, told, entry, this.options.self.host)
@@ -89,7 +89,7 @@
     return HeartbeatVerdict.accepted
   }
 
-  /** A heartbeat to the host was not answered. A hint, no more: see `listMembers`. */
+  /** Records that a heartbeat to the host was not answered. This can only make the host suspected, never gone; see `listMembers`. */
   observeSilence (host: string, now: number): void {
     const entry = this.entries.get(host)
     if (entry === undefined) return
@@ -98,13 +98,13 @@
     entry.failedSince = Math.min(entry.failedSince, now)
   }
 
-  /** A heartbeat that this host sent was answered. */
+  /** Records that a heartbeat sent by this host was answered. */
   observeAnswered (host: string): void {
     const entry = this.entries.get(host)
     if (entry !== undefined) Object.assign(entry, { failures: 0, failedSince: Infinity })
   }
 
-  /** The address refused a connection that was begun while `incarnation` was the host's latest. */
+  /** Records that the address refused a connection that was begun while `incarnation` was the host's latest. */
   observeRefused (host: string, incarnation: number, peerAddress: string, now: number): void {
     const entry = this.entries.get(host)
     if (entry === undefined) return
@@ -112,7 +112,7 @@
     if (isRefusalEvidence(entry, { incarnation, peerAddress, ownZone: this.options.self.availabilityZone })) this.markGone(entry, GoneEvidence.refused)
   }
 
-  /** Word of a host from another one. */
+  /** Records a summary of a host that a peer sent. */
   observeSummary (summary: Summary, now: number): void {
     if (summary.host === this.options.self.host || summary.incarnation === 0 || summary.ageMs > FORGET_AFTER_MS) return
     const entry = this.entries.get(summary.host)
@@ -129,7 +129,7 @@
     this.announce(known)
   }
 
-  /** What this host says of itself from now on. */
+  /** Updates the state that this host reports of itself. */
   updateSelf (word: { revision?: number, loads?: ServiceLoad[], isLeaving?: boolean, isGone?: boolean }): void {
     const self = this.require(this.options.self.host)
     const isNews = (word.isLeaving ?? self.isLeaving) !== self.isLeaving || (word.isGone ?? self.isGone) !== self.isGone
@@ -137,7 +137,7 @@
     if (isNews) this.announce(self)
   }
 
-  /** Every host that is known, this one among them. */
+  /** Lists every known host, this one included. */
   listMembers (now: number): Member[] {
     const silent = this.listSilent(now)
     return [...this.entries.values()].map((entry) => this.describeMember(entry, silent, now))
@@ -148,12 +148,12 @@
     return entry === undefined ? undefined : this.describeMember(entry, this.listSilent(now), now)
   }
 
-  /** The revision of a host as last heard; 0 where it isn't known. */
+  /** Returns the last reported revision of a host; 0 where it isn't known. */
   getRevision (host: string): number {
     return this.entries.get(host)?.revision ?? 0
   }
 
-  /** The two hosts of a zone that watch the platform: the first by name among the live. */
+  /** Chooses the two hosts of a zone that watch the platform: the first live ones by name. */
   chooseWatchers (availabilityZone: string, now: number): string[] {
     return chooseWatchers(this.listMembers(now), availabilityZone)
   }
@@ -167,7 +167,7 @@
     return plan
   }
 
-  /** Tells as news each host that has just gone silent, and forgets what is too old. */
+  /** Announces each host that has newly become silent, and removes entries that are too old. */
   advance (now: number): void {
     const silent = this.listSilent(now)
     for (const entry of [...this.entries.values()]) {
@@ -182,19 +182,19 @@
     }
   }
 
-  /** What to tell of a host; its age is as of now. */
+  /** Returns the summary of a host to send to peers; its age is as of `now`. */
   getSummary (host: string, now: number): Summary | undefined {
     return describeSummary(this.entries.get(host), host === this.options.self.host, now)
   }
 
-  /** The hosts of which there is word to pass on, gone ones among them, so that older word doesn't bring them back. */
+  /** Lists the hosts whose state is passed on to peers, gone ones included, so that older reports don't restore those. */
   listHosts (): Array<{ host: string, availabilityZone: string }> {
     return [...this.entries.values()]
       .filter((entry) => entry.incarnation > 0 && entry.host !== this.options.self.host)
       .map(({ host, availabilityZone }) => ({ host, availabilityZone }))
   }
 
-  /** A first or newer incarnation: the one before has ended, as two can't have one address. */
+  /** Adds a first or newer incarnation. The previous one has exited, as two processes can't listen on one address. */
   private adoptIncarnation (listed: Omit<ListedHost, 'isLeaving'> & { incarnation: number }): MemberEntry {
     const before = this.entries.get(listed.host)
     const next = { ...makeMemberEntry({ ...listed, isLeaving: false }), incarnation: listed.incarnation, listedAt: before?.listedAt ?? -Infinity }
--- a/packages/almondrelay/src/process/membership/membershipOptions.ts
+++ b/packages/almondrelay/src/process/membership/membershipOptions.ts
@@ -7,10 +7,10 @@
   peerAddress: string
 }
 
-/** Who this host is and how it judges silence. */
+/** Identity of this host and the time limits for suspecting a silent peer. */
 export interface MembershipOptions {
   self: Self
   heartbeatMs: number
-  /** Silence after which a peer gets no new work. */
+  /** Time without a report after which a peer gets no new work. */
   suspectAfterMs: number
 }
--- a/packages/almondrelay/src/process/membership/neighbour.ts
+++ b/packages/almondrelay/src/process/membership/neighbour.ts
@@ -1,4 +1,4 @@
-/** A peer that this host keeps up an exchange with. */
+/** A peer with which this host exchanges heartbeats. */
 export interface Neighbour {
   host: string
   peerAddress: string
--- a/packages/almondrelay/src/process/membership/newsBoard.ts
+++ b/packages/almondrelay/src/process/membership/newsBoard.ts
@@ -1,10 +1,10 @@
 interface News {
   keys: string[]
-  /** Pass it as `after` once the reader has these. */
+  /** Position to pass as `after` once the reader has received these keys. */
   upTo: number
 }
 
-/** What changed, in order, each key once at its latest change. */
+/** Changed keys in order of change; each key appears once, at its latest change. */
 export class NewsBoard {
   private counter = 0
   /** Insertion order is the order of change, as a key is deleted before it is set again. */
--- a/packages/almondrelay/src/process/membership/planNeighbours.ts
+++ b/packages/almondrelay/src/process/membership/planNeighbours.ts
@@ -4,35 +4,35 @@
 import type { Neighbour } from './neighbour.js'
 
 /**
- * Interval on the chords of the zone's ring. The next on either side hear a host's end soonest, and
- * news goes over a chord at once anyway, so heartbeats on it can be few: one costs about a
- * millisecond of processor time at either end.
+ * Heartbeat interval on the chords of the zone's ring. The next hosts on either side detect a host's exit first, and
+ * changes are sent over a chord at once anyway, so its heartbeats can be rare: one costs about a millisecond of
+ * processor time at either end.
  */
 const CHORD_INTERVAL_MS = 1_000
 /** Interval to watchers of other zones of the region, and of other regions. */
 const REGION_INTERVAL_MS = 1_000
 const FAR_INTERVAL_MS = 2_000
-/** The hosts of a zone that aren't neighbours of a watcher call on the two watchers three times a second in all. */
+/** Interval for each host of the zone, so that all hosts that aren't neighbours of a watcher send the two watchers three heartbeats a second in total. */
 const WATCHER_INTERVAL_A_HOST_MS = 340
-/** Suspected hosts that are kept under watch beside the live neighbours. */
+/** Suspected hosts that still get heartbeats besides the live neighbours. */
 const MAX_SUSPECTS = 4
-/** Hosts that were never heard, or had gone, that are tried at a time. */
+/** Hosts without any report so far, or gone, that are probed at a time. */
 const MAX_TRIES = 4
 
 interface PlanInput {
   self: Member
   members: readonly Member[]
   heartbeatMs: number
-  /** Hosts to try, those whose last try is longest ago first. */
+  /** Hosts to probe, the one with the oldest failed attempt first. */
   tries: readonly Member[]
   chooseWatchers: (availabilityZone: string) => string[]
-  /** When this host last tried another in vain. */
+  /** Time of this host's last failed attempt to reach another. */
   getTriedAt: (host: string) => number
 }
 
 /**
- * The peers to keep an exchange with: two beside it and two farther by rank in the zone, a watcher of the zone, and, for a
- * watcher, watchers of four zones and four regions at most. No number here grows with the fleet.
+ * Plans the peers to exchange heartbeats with: two adjacent ones and two farther ones by rank in the zone, a watcher of the
+ * zone, and, for a watcher, watchers of at most four zones and four regions. No number here grows with the fleet.
  */
 export function planNeighbours (input: PlanInput): Neighbour[] {
   const planned = new Map<string, Neighbour>()
@@ -65,7 +65,7 @@
   return [...planned.values()]
 }
 
-/** In each direction of the ring the first live host, and the suspected ones passed on the way. */
+/** Chooses the first live host in each direction of the ring, and the suspected ones before it. */
 function chooseZoneNeighbours (self: Member, zone: readonly Member[], offsets: readonly number[]): Member[] {
   const ring = zone.filter((member) => isHeard(member) || member.host === self.host).sort((a, b) => (a.host < b.host ? -1 : 1))
   const own = ring.findIndex((member) => member.host === self.host)
@@ -88,8 +88,8 @@
 }
 
 /**
- * Of a zone where nobody is live, the suspected host that was tried longest ago. Without it two
- * sides of a cut, each of which suspects the other whole, would never speak again once it is mended.
+ * Chooses, in a zone without a live host, the suspected host with the oldest failed attempt. Without it, the two sides of
+ * a network partition, each of which suspects all hosts of the other, would never reconnect after the partition ends.
  */
 function chooseSuspect (input: PlanInput, availabilityZone: string): Member | undefined {
   return input.members
@@ -101,7 +101,7 @@
   return chooseOthers(listZones(input, input.self.region), input.self.availabilityZone)
 }
 
-/** One zone of each neighbouring region, of the rank that the own zone has in its region. */
+/** Chooses one zone of each neighbouring region: the one with the same rank as the own zone has in its region. */
 function chooseFarZones (input: PlanInput): string[] {
   const rank = listZones(input, input.self.region).indexOf(input.self.availabilityZone)
   const regions = [...new Set(input.members.map((member) => member.region))].sort()
--- a/packages/almondrelay/src/process/membership/serviceLoad.ts
+++ b/packages/almondrelay/src/process/membership/serviceLoad.ts
@@ -1,4 +1,4 @@
-/** Load of one service at a host, as the owner of its targets last counted it. */
+/** Load of one service at a host, as last counted by the host that owns its targets. */
 export interface ServiceLoad {
   service: string
   freeSlots: number
--- a/packages/almondrelay/src/process/membership/silenceRule.ts
+++ b/packages/almondrelay/src/process/membership/silenceRule.ts
@@ -3,37 +3,37 @@
 
 /** Heartbeats that a peer may miss before it is suspected. */
 const MISSED_HEARTBEATS = 3
-/** A host of which others have word that is newer than this one's by more is one that they hear and this one doesn't. */
+/** Where the last report through peers is newer than the last direct one by more than this, the peers receive the host's reports and this host doesn't. */
 const OTHERS_HEAR_MS = 3_000
-/** Word of such a host comes with refreshes; only when it has long ceased do the others not hear it either. */
+/** Reports of such a host arrive through peers with periodic refreshes; only after this time without any do the peers receive none either. */
 const OTHERS_SILENT_MS = 10_000
-/** Tries in a row that fail before a host that still speaks here is taken as out of reach from here. */
+/** Consecutive failed attempts before a host whose own reports still arrive counts as unreachable from this host. */
 const FEWEST_FAILURES = 2
-/** A zone is heard again once one of its hosts spoke this much later than the silent ones. */
+/** A zone is not silent if one of its hosts reported more than this after the last report of the silent ones. */
 const ZONE_MARGIN_MS = 2_000
-/** Silent hosts of a zone from which the rest of it, that nobody here speaks with, is suspected too. */
+/** Silent hosts of a zone that suffice to suspect its other hosts too, with which no host of this zone exchanges heartbeats. */
 const ZONE_WITNESSES = 2
 
 /**
- * Whose silence counts as suspicion. A neighbour's own silence does, after three missed heartbeats
- * and not before `suspectAfterMs`, and so do tries that fail while it still speaks, as where a cut is
- * in one direction; of the others what their neighbours tell does; and where the
- * hosts of a zone that others speak with have all gone silent, the zone as a whole is cut off.
+ * Decides which hosts are suspected for silence. A neighbour is suspected after three missed heartbeats,
+ * but not before `suspectAfterMs`, and also when attempts to reach it fail although its reports still arrive, as in a
+ * network partition of one direction. Other hosts are suspected when their neighbours report them silent. Where all
+ * hosts of a zone that exchange heartbeats with other zones are silent, the whole zone counts as partitioned.
  */
 export class SilenceRule {
   private watched = new Map<string, { intervalMs: number, since: number }>()
 
   constructor (private readonly suspectAfterMs: number, private readonly heartbeatMs: number) {}
 
-  /** The neighbours of this moment; only their silence is judged by this host's own clock. */
+  /** Sets the current neighbours; only their silence is measured by this host's own clock. */
   setIntervals (neighbours: readonly Neighbour[], now: number): void {
     this.watched = new Map(neighbours.map(({ host, intervalMs }) => [host, { intervalMs, since: this.watched.get(host)?.since ?? now }]))
   }
 
   /**
-   * Whether this host's own finding of silence is worth telling: it is a neighbour, and nobody has
-   * heard the host lately. Told with the others' newer word of it, the finding would make a host
-   * that only this one can't reach look silent to all.
+   * Whether this host may report the other as silent: the other is a neighbour, and no host has received a report
+   * from it lately. Otherwise the finding would be sent together with a newer report through peers, and a host
+   * that only this one can't reach would look silent to all.
    */
   isWitness (entry: MemberEntry, now: number): boolean {
     if (!this.watched.has(entry.host)) return false
--- a/packages/almondrelay/src/process/membership/summary.ts
+++ b/packages/almondrelay/src/process/membership/summary.ts
@@ -1,6 +1,6 @@
 import type { ServiceLoad } from './serviceLoad.js'
 
-/** What one host tells another of a third, or of itself. */
+/** State of a host that a host reports to a peer: its own, or that of a third host. */
 export interface Summary {
   host: string
   /** 0 where only settings or the host list name it. */
@@ -10,13 +10,13 @@
   callerAddress: string
   peerAddress: string
   revision: number
-  /** It announced that it takes no new work. */
+  /** The host announced that it takes no new work. */
   isLeaving: boolean
-  /** Definitive evidence says that this incarnation has ended. */
+  /** Definitive evidence shows that this incarnation has exited. */
   isGone: boolean
-  /** A neighbour of it finds it silent: a hint, which frees nothing. */
+  /** A neighbour of the host has no recent report from it: this only makes the host suspected and frees nothing. */
   isSilent: boolean
-  /** Age of this knowledge when it was sent, in milliseconds. */
+  /** Age of the last report of the host when this summary was sent, in milliseconds. */
   ageMs: number
   loads: ServiceLoad[]
 }
