--- a/packages/almondrelay/src/process/configuration/__tests__/changeLog.test.ts
+++ b/packages/almondrelay/src/process/configuration/__tests__/changeLog.test.ts
@@ -26,7 +26,7 @@
 
 // An operator applies a cap and gets a time-out although the cap is in force: the platform stored
 // the change, but its answer was lost. The writer must be told that it was accepted.
-test('a write whose answer is lost is found by its id and told as accepted', async () => {
+test('a write whose answer is lost is found by its id and reported as accepted', async () => {
   const { clock, platform, host } = createSystem()
   platform.faults.lostAnswers = 2
   const outcome = await runFor(clock, 5_000, host.changeLog.submit(makeWrite('w1', 'akl'), never))
@@ -34,7 +34,7 @@
   assert.equal(await listLog(platform), ['w1'])
 })
 
-test('a write that is lost on its way is sent again and made once', async () => {
+test('a write that is lost in transit is retried and applied once', async () => {
   const { clock, platform, host } = createSystem()
   platform.faults.lostWrites = 1
   const outcome = await runFor(clock, 5_000, host.changeLog.submit(makeWrite('w1', 'akl'), never))
@@ -118,7 +118,7 @@
   assert.match('problems' in removal ? removal.problems[0]?.path ?? '' : '', 'Link/akl-wlg: spec.from')
 })
 
-test('what names a thing that does not exist is rejected with path, found and remedy', async () => {
+test('a reference to an object that does not exist is rejected with path, found and remedy', async () => {
   const { host, platform } = createSystem()
   const spec = { service: 'balances', from: 'akl', weights: { wlg: 1 }, spill: true }
   const outcome = await host.changeLog.submit({ writeId: 'w1', author: 'test', action: 'put', resource: { kind: 'SteeringPolicy', name: 'p', revision: 0, spec } }, never)
--- a/packages/almondrelay/src/process/configuration/__tests__/followPlatformChanges.test.ts
+++ b/packages/almondrelay/src/process/configuration/__tests__/followPlatformChanges.test.ts
@@ -60,7 +60,7 @@
 
 // A watch stays open but no longer reports changes that are made. The follower would stay on an old revision
 // permanently, so it lists the log after each watch without events.
-test('a watch that stopped reporting is found out within its wait', async () => {
+test('a watch that stopped reporting is detected within its timeout', async () => {
   const { clock, platform, hosts: [writer, follower], stop } = createFollowers(2)
   await clock.advance(100)
   platform.faults.watchesStopped = true
@@ -82,7 +82,7 @@
 // Writers on several hosts race, while answers and writes are lost, late or delayed by outages. Every reported outcome
 // must be true: accepted writes are in the log once, at the reported revision; conflicting, rejected and missing
 // ones never are; all hosts end on one revision, and no host's revision decreases.
-test('what writers are told holds under any order of races and losses (seed 14)', async () => {
+test('reported outcomes of writes are true under any order of races and losses (seed 14)', async () => {
   const fault = fc.constantFrom('none', 'none', 'lostAnswer', 'lostWrite', 'lateWrite', 'outage', 'stopWatches')
   const step = fc.record({
     host: fc.nat({ max: 2 }),
--- a/packages/almondrelay/src/process/configuration/__tests__/snapshots.test.ts
+++ b/packages/almondrelay/src/process/configuration/__tests__/snapshots.test.ts
@@ -29,7 +29,7 @@
   return { revision, resources, writes: [{ writeId: 'w', revision }] }
 }
 
-test('a snapshot of many megabytes comes back whole from chunks below a megabyte', async () => {
+test('a snapshot of many megabytes is restored completely from chunks below a megabyte', async () => {
   const { platform } = createSystem()
   const snapshot = makeLargeSnapshot(21, 21)
   assert.is(await saveSnapshot(platform, snapshot, never), 21)
@@ -62,7 +62,7 @@
   assert.is(fresh.store.current.listAll().length, 3)
 })
 
-test('two hosts that write snapshots at once leave one whole, and the manifest only goes up', async () => {
+test('two hosts that write snapshots at once leave a complete one, and the revision of the manifest only increases', async () => {
   const { platform } = createSystem()
   await Promise.all([saveSnapshot(platform, makeLargeSnapshot(6, 3), never), saveSnapshot(platform, makeLargeSnapshot(5, 2), never)])
   const first = await loadSnapshot(platform, never)
--- a/packages/almondrelay/src/process/configuration/changeLog.ts
+++ b/packages/almondrelay/src/process/configuration/changeLog.ts
@@ -46,7 +46,7 @@
 
   constructor (private readonly options: ChangeLogOptions) {}
 
-  /** Tail of the queue of writes: those of one host run one after the other, so that they do not race each other. */
+  /** Submits a write. The writes of one host run one after the other, so that they do not race each other. */
   async submit (write: Write, signal: AbortSignal): Promise<WriteOutcome> {
     const deadline = this.options.clock.getNow() + RESOLVE_MS
     const begunAt = this.options.store.current.revision
--- a/packages/almondrelay/src/process/configuration/followPlatformChanges.ts
+++ b/packages/almondrelay/src/process/configuration/followPlatformChanges.ts
@@ -40,7 +40,7 @@
       await watchWhileWatcher(options, () => { failures = 0 }, signal)
     } catch (error) {
       if (signal.aborted) return
-      log.warn({ err: error, failures, revision: options.store.current.revision }, 'platform changes not followed')
+      log.warn({ err: error, failures, revision: options.store.current.revision }, 'following platform changes failed; retrying after a delay')
       await clock.sleep(computeBackoff(failures, random), signal)
       failures += 1
     }
--- a/packages/almondrelay/src/process/configuration/runSnapshotWriter.ts
+++ b/packages/almondrelay/src/process/configuration/runSnapshotWriter.ts
@@ -31,7 +31,7 @@
       const revision = await saveSnapshot(platform, store.buildSnapshot(), signal)
       log.info({ revision }, 'snapshot written')
     } catch (error) {
-      if (!signal.aborted) log.warn({ err: error }, 'snapshot not written; the change log still holds everything')
+      if (!signal.aborted) log.warn({ err: error }, 'snapshot not written; the change log is still complete')
     }
   }
   changeLog.subscribe((revision) => {
--- a/packages/almondrelay/src/process/membership/__tests__/membership.test.ts
+++ b/packages/almondrelay/src/process/membership/__tests__/membership.test.ts
@@ -16,7 +16,7 @@
   return gone
 }
 
-test('silence suspects a neighbour after a second, and word of it lifts the suspicion', () => {
+test('a neighbour is suspected after a second without a heartbeat, and live again after the next one', () => {
   const membership = createMembership('akl-a-1')
   receiveHeartbeat(membership, makeSummary('akl-a-2'), 0)
   membership.planNeighbours(0)
@@ -27,7 +27,7 @@
   assert.is(membership.getMember('akl-a-2', 1_200)?.state, 'live')
 })
 
-test('a refused connection shows the end of the incarnation that gave the address, and of no other', () => {
+test('a refused connection is evidence against the incarnation that gave the address, and against no other', () => {
   const membership = createMembership('akl-a-1')
   const gone = collectGone(membership)
   const summary = makeSummary('akl-a-2')
@@ -42,7 +42,7 @@
 
 // A connection attempt to a process that has exited is refused after a report from its replacement has arrived.
 // If the refusal counted against the new incarnation, resources that it holds would be freed.
-test('a refusal that arrives after the next incarnation spoke does not end that one', () => {
+test('a refusal of the old incarnation after a heartbeat of the new one does not make the new one gone', () => {
   const membership = createMembership('akl-a-1')
   receiveHeartbeat(membership, makeSummary('akl-a-2'), 0)
   const gone = collectGone(membership)
@@ -63,7 +63,7 @@
 
 // Two processes are started with one name by mistake, or a paused process resumes after it was replaced.
 // Callers would be sent to one and answered by the other, so only the newest incarnation is accepted.
-test('a host that is not what it says is refused', () => {
+test('a heartbeat from a sender with a false identity is refused', () => {
   const membership = createMembership('akl-a-1')
   receiveHeartbeat(membership, makeSummary('akl-a-2'), 0)
   assert.is(receiveHeartbeat(membership, makeSummary('akl-a-2', { peerAddress: '10.0.0.9:1' }), 10), 'name-taken')
@@ -75,7 +75,7 @@
   assert.is(receiveHeartbeat(membership, makeSummary('akl-a-2', { incarnation: INCARNATION + 1 }), 40), 'accepted')
 })
 
-test('the host list adds hosts and stops new work, and takes none away', () => {
+test('the host list adds hosts and stops new work, and removes no host', () => {
   const membership = createMembership('akl-a-1')
   receiveHeartbeat(membership, makeSummary('akl-a-2'), 0)
   membership.observeListed({ ...makeSummary('akl-a-3'), isLeaving: false }, 0)
@@ -85,7 +85,7 @@
   assert.ok(membership.planNeighbours(0).some((neighbour) => neighbour.host === 'akl-a-3'))
 })
 
-test('word of a gone host is not undone by older word of it', () => {
+test('a report that a host is gone is not undone by older reports of it', () => {
   const membership = createMembership('akl-a-1')
   membership.observeSummary(makeSummary('akl-a-2', { isGone: true, ageMs: 500 }), 1_000)
   membership.observeSummary(makeSummary('akl-a-2', { ageMs: 100 }), 1_000)
@@ -96,7 +96,7 @@
 // One host can't reach another that all its peers can reach, or it could not earlier and is no longer its neighbour.
 // If it kept reporting the host as silent together with the peers' newest report, a live host would stay suspected
 // permanently (found by fleetFaults.test.ts, seed 15).
-test('a host that others hear is not told as silent', () => {
+test('a host of which peers receive reports is not reported as silent', () => {
   const membership = createMembership('akl-a-1')
   receiveHeartbeat(membership, makeSummary('akl-a-2'), 0)
   membership.planNeighbours(0)
@@ -111,7 +111,7 @@
 
 // A process is slow: its heartbeats arrive late, out of order, or through peers with any age, and calls to it
 // time out. In any order of these, the process must never be declared gone without evidence.
-test('no order of late, lost and repeated word makes a host gone without evidence (seed 11)', () => {
+test('no order of late, lost and repeated reports makes a host gone without evidence (seed 11)', () => {
   const step = fc.record({
     kind: fc.constantFrom('heartbeat', 'silence', 'summary', 'advance', 'plan'),
     host: fc.constantFrom('akl-a-2', 'akl-a-3', 'akl-b-1'),
--- a/packages/almondrelay/src/process/membership/__tests__/planNeighbours.test.ts
+++ b/packages/almondrelay/src/process/membership/__tests__/planNeighbours.test.ts
@@ -37,7 +37,7 @@
 
 // If the neighbour graph did not connect every host of a zone, a change would never reach some of them
 // while the zone is partitioned from the platform.
-test('neighbours join all hosts of a zone, and zones and regions with each other (seed 12)', () => {
+test('neighbours connect all hosts of a zone, and zones and regions with each other (seed 12)', () => {
   fc.assert(fc.property(fc.integer({ min: 1, max: 4 }), fc.integer({ min: 1, max: 7 }), fc.integer({ min: 1, max: 12 }), (regions, zones, hosts) => {
     const all = listHosts(regions, zones, hosts)
     const links = new Map(all.map((host) => [host, createView(host, all).planNeighbours(10).map((neighbour) => neighbour.host)]))
