--- a/packages/almondrelay/src/process/configuration/decideWrite.ts
+++ b/packages/almondrelay/src/process/configuration/decideWrite.ts
@@ -15,7 +15,7 @@
  * change is created, because a change is only ever applied to the revision it was checked against.
  *
  * @param given resources that are declared elsewhere: they may be referenced, and their kinds can't be written
- * @param lostTo the revision of a change to the same resource that was adopted since the write began
+ * @param conflictingRevision the revision of a change to the same resource that was adopted since the write began
  */
 export function decideWrite (configuration: Configuration, write: Write, lostTo: number | undefined, writtenAt: number, given: readonly Resource[] = []): Decision {
   const { writeId } = write
