--- a/packages/almondrelay/src/operators/index.ts
+++ b/packages/almondrelay/src/operators/index.ts
@@ -1,4 +1,4 @@
-// What serves operators, for daemons that load it on demand: the package's index would bring every other part along.
+// Exports for the operators' API, for daemons that load it on demand; the package's index would load all other modules too.
 export { createOperatorApp } from '../connection/operator/createOperatorApp.js'
 export { AccountReader } from '../process/account/accountReader.js'
 export { ChangeLog } from '../process/configuration/changeLog.js'
--- a/packages/almondrelay/src/process/account/__tests__/accountLedger.test.ts
+++ b/packages/almondrelay/src/process/account/__tests__/accountLedger.test.ts
@@ -9,7 +9,7 @@
 const makeLedger = (limits: { maxRows?: number, maxPages?: number, maxPageBytes?: number } = {}): AccountLedger => new AccountLedger({ host: 'akl-a-1', incarnation: 7, ...limits })
 const countRequests = (ledger: AccountLedger): number => ledger.listPages().flatMap((page) => page.rows).reduce((sum, row) => sum + row.count, 0)
 
-test('requests that agree in everything share a row', () => {
+test('requests that are equal in all dimensions share a row', () => {
   const ledger = makeLedger()
   ledger.record(makeEntry({ durationMs: 10 }))
   ledger.record(makeEntry({ durationMs: 30 }))
@@ -21,16 +21,16 @@
   assert.equal(AccountPage.parse(JSON.parse(JSON.stringify(page))), page)
 })
 
-test('minutes without requests get pages too, so that a gap is a loss', () => {
+test('minutes without requests get pages too, so that a missing page indicates lost data', () => {
   const ledger = makeLedger()
   ledger.record(makeEntry({ at: 0 }))
   ledger.record(makeEntry({ at: 3 * MINUTE }))
   assert.equal(ledger.listPages().map((page) => [page.minute, page.rows.length]), [[0, 1], [1, 0], [2, 0]])
 })
 
-// A caller sends a new name with each request. Without a bound the host's memory would fill;
-// with it the surplus is counted under `other`, with its outcome and reason, and said.
-test('a page has a bounded number of rows, and what is over is counted as other', () => {
+// A caller that sends a new name with each request must not exhaust the host's memory: requests beyond the row limit
+// are counted under `other`, with their outcome and reason, and the page states their number.
+test('a page has a limited number of rows, and further requests are counted as other', () => {
   const ledger = makeLedger({ maxRows: 3 })
   for (let index = 0; index < 10; index += 1) ledger.record(makeEntry({ caller: `caller-${index}` }))
   ledger.record(makeEntry({ caller: 'one more', outcome: 'not-run', reason: 'queue-full' }))
@@ -52,9 +52,9 @@
   assert.is(countRequests(ledger), 3_000)
 })
 
-// The platform is down for longer than the pages are kept. Managers would read a total that is
-// too low and not know it; each later page says how much was dropped.
-test('beyond the bound the oldest pages go, and are counted as lost', () => {
+// A platform outage that is longer than pages are kept must not lower the totals unnoticed: each later page states how
+// much was dropped.
+test('the oldest pages beyond the limit are dropped and counted as lost', () => {
   const ledger = makeLedger({ maxPages: 3 })
   for (let minute = 0; minute < 6; minute += 1) ledger.record(makeEntry({ at: minute * MINUTE }))
   ledger.closeMinutes(6 * MINUTE)
@@ -63,7 +63,7 @@
   assert.equal(ledger.listPages().at(-1)?.lost, { minutes: 3, requests: 3 })
 })
 
-test('a wall clock that is set back changes no page that is closed', () => {
+test('setting the wall clock back changes no closed page', () => {
   const ledger = makeLedger()
   ledger.record(makeEntry({ at: 5 * MINUTE }))
   ledger.record(makeEntry({ at: 6 * MINUTE }))
--- a/packages/almondrelay/src/process/account/__tests__/accountWriter.test.ts
+++ b/packages/almondrelay/src/process/account/__tests__/accountWriter.test.ts
@@ -12,7 +12,7 @@
 const MINUTE = 60_000
 const never = new AbortController().signal
 
-/** A host's account in virtual time, on a clock that hosts of one test share. */
+/** A host's ledger and writer in virtual time; the hosts of one test share a clock. */
 class AccountRun {
   failures = 0
   readonly ledger: AccountLedger
@@ -28,7 +28,7 @@
     })
   }
 
-  /** Runs the writer until a time, with one request recorded every `everyMs`. */
+  /** Runs the writer until the given time and records one request every `everyMs`. */
   async runUntil (untilMs: number, everyMs: number): Promise<number> {
     const stop = new AbortController()
     const task = this.writer.run(stop.signal)
@@ -66,8 +66,8 @@
   assert.ok(await platform.get('account/akl-a-1/1/0000000005', never))
 })
 
-// The platform is out for ten minutes. Requests are served on, and their counts must not be
-// lost: the pages wait, and are written once it is back.
+// Counts must not be lost when the platform is unavailable for ten minutes while requests are served: the pages are
+// kept and written after the outage.
 test('pages are kept through an outage', async () => {
   const { platform, run } = startRun()
   let recorded = await run.runUntil(2 * MINUTE, 5_000)
@@ -82,7 +82,7 @@
   assert.equal(report.lost, { minutes: 0, requests: 0 })
 })
 
-test('an outage longer than the bound loses the oldest, and the report says how much', async () => {
+test('an outage longer than pages are kept drops the oldest pages, and the report states how much was lost', async () => {
   const { platform, run } = startRun(5)
   platform.faults.outage = true
   const recorded = await run.runUntil(20 * MINUTE, 5_000)
@@ -93,8 +93,8 @@
   assert.is(report.total + report.lost.requests, recorded)
 })
 
-// The put is stored and its answer is lost. The writer puts the page again; a manager who then
-// saw the minute twice would bill a client twice.
+// When a put is stored but its answer is lost, the writer puts the page again. Counting that page twice would bill a
+// client twice.
 test('a page whose answer was lost counts once', async () => {
   const { platform, run } = startRun()
   platform.faults.lostAnswers = 1
@@ -104,9 +104,9 @@
   assert.is((await sumReport(platform)).total, recorded)
 })
 
-// The host is killed. What it counted since its last page is gone; the report names the host
-// and the minute after which nothing is known, and its next incarnation starts afresh.
-test('a host that dies without a last page is named', async () => {
+// The counts since the last page are lost when a host is killed. The report must name the host and the minute after
+// which its counts are unknown, and its next incarnation starts with new pages.
+test('the report names a host that was killed before it wrote its last page', async () => {
   const { clock, platform, run } = startRun()
   await run.runUntil(4 * MINUTE, 10_000)
   await clock.advance(2 * MINUTE)
@@ -119,13 +119,13 @@
   assert.ok((report.missing[0]?.silentSince ?? 99) < 4)
 })
 
-test('a live host whose last page is not due yet is not called silent', async () => {
+test('a live host whose last page is not due yet is not reported as missing', async () => {
   const { platform, run } = startRun()
   await run.runUntil(4 * MINUTE, 10_000)
   assert.equal((await sumReport(platform, 0, 4 * MINUTE, 4 * MINUTE)).missing, [])
 })
 
-test('the span is read without the pages around it, over hosts', async () => {
+test('reading a time range excludes pages outside the range, over several hosts', async () => {
   const clock = new FakeClock()
   const platform = new FakePlatform(clock)
   const runs = ['akl-a-1', 'wlg-a-1', 'wlg-b-1'].map((host) => new AccountRun(clock, platform, host))
@@ -143,7 +143,7 @@
   assert.ok(lists <= 12, `${lists} list calls`)
 })
 
-test('a missing minute and a page that is broken are named', async () => {
+test('the report names missing minutes and unreadable pages', async () => {
   const { platform, run } = startRun()
   await run.runUntil(6 * MINUTE, 30_000)
   await run.writer.finish()
@@ -162,7 +162,7 @@
   assert.is(mergePages(pages, 0, 1, 1).minutes[0]?.rows[0]?.count, 1)
 })
 
-test('an outage while the account is read is an error, never a part shown as the whole', async () => {
+test('a platform outage while the account is read is an error, never a partial report', async () => {
   const { clock, platform } = startRun()
   platform.faults.outage = true
   const reading = sumReport(platform).catch((reason: Error) => reason)
--- a/packages/almondrelay/src/process/account/__tests__/decisionLog.test.ts
+++ b/packages/almondrelay/src/process/account/__tests__/decisionLog.test.ts
@@ -3,7 +3,7 @@
 import * as assert from 'uvu/assert'
 import { DecisionLog } from '../decisionLog.js'
 
-test('a decision is one log line with all that was known', () => {
+test('a decision is one log line with its whole input', () => {
   const lines = new bunyan.RingBuffer({ limit: 5 })
   const log = new DecisionLog(bunyan.createLogger({ name: 'test', streams: [{ type: 'raw', stream: lines, level: 'info' }] }))
   log.write({ decision: 'choice', requestId: 'r1', input: { now: 5, targets: [{ name: 'a', free: 2 }] }, output: { target: 'a' } })
--- a/packages/almondrelay/src/process/account/accountDimension.ts
+++ b/packages/almondrelay/src/process/account/accountDimension.ts
@@ -1,4 +1,4 @@
 import type { accountDimensions } from './accountDimensions.js'
 
-/** A part of a row by which requests are told apart. */
+/** A field of an account row by which requests are grouped. */
 export type AccountDimension = (typeof accountDimensions)[number]
--- a/packages/almondrelay/src/process/account/accountDimensions.ts
+++ b/packages/almondrelay/src/process/account/accountDimensions.ts
@@ -1,2 +1,2 @@
-/** The parts of a row by which requests are told apart. */
+/** The fields of an account row by which requests are grouped. */
 export const accountDimensions = ['caller', 'service', 'target', 'region', 'availabilityZone', 'callerRegion', 'outcome', 'reason'] as const
--- a/packages/almondrelay/src/process/account/accountEntry.ts
+++ b/packages/almondrelay/src/process/account/accountEntry.ts
@@ -1,21 +1,21 @@
 import type { Outcome } from '../../request/outcome.js'
 import type { RefusalReason } from '../../request/refusalReason.js'
 
-/** One request that has ended, as the account counts it. */
+/** One finished request, as input of the account. */
 export interface AccountEntry {
-  /** Wall time of the end in milliseconds; it only chooses the minute that counts it. */
+  /** Wall time at which the request finished, in milliseconds; only selects the minute in which the request is counted. */
   at: number
   caller: string
   service: string
-  /** Absent where no target got the request. */
+  /** Absent when the request was sent to no target. */
   target?: string
-  /** Where it ran or, when it didn't, where it was refused. */
+  /** Region in which the request ran or, when it did not run, in which it was refused. */
   region: string
   availabilityZone: string
-  /** Region that the caller is nearest to. */
+  /** Region nearest to the caller. */
   callerRegion: string
   outcome: Outcome
   reason?: RefusalReason
-  /** From the request's first byte here to the last byte of its answer, in milliseconds. */
+  /** Time from the first byte of the request at this host to the last byte of its answer, in milliseconds. */
   durationMs: number
 }
--- a/packages/almondrelay/src/process/account/accountLedger.ts
+++ b/packages/almondrelay/src/process/account/accountLedger.ts
@@ -14,8 +14,8 @@
 const MINUTE_MS = 60_000
 
 /**
- * Counts what became of each request by minute, until the pages are written to the platform.
- * Bounded: see accountLimits. Pure; wall time is an argument.
+ * Counts the outcomes of requests per minute and keeps the resulting pages until they are written to the platform.
+ * Memory is bounded by accountLimits. Does no I/O and reads no clock; wall time is passed as an argument.
  */
 export class AccountLedger {
   private readonly limits: Required<Omit<LedgerOptions, 'host' | 'incarnation'>>
@@ -30,15 +30,18 @@
   }
 
   /**
-   * Counts a request that has ended. A wall clock that was set back does not reopen a minute:
-   * its page may be written already, and a page is never changed. The open minute counts it.
+   * Counts a finished request. When the wall clock has been set back, the request is counted in the open minute:
+   * the page of an earlier minute may already be written, and pages are immutable.
    */
   record (entry: AccountEntry): void {
     this.closeMinutes(entry.at)
     this.counts.add(entry)
   }
 
-  /** Makes pages of all minutes that are over at `wallNow`, empty ones too, so that a gap shows. */
+  /**
+   * Creates a page for every minute that has ended at `wallNow`, including minutes without requests, so that a missing
+   * page indicates lost data.
+   */
   closeMinutes (wallNow: number): void {
     const minute = Math.floor(wallNow / MINUTE_MS)
     this.openMinute ??= minute
@@ -50,23 +53,23 @@
     this.openMinute = minute
   }
 
-  /** Closes the open minute too; for a planned stop, after the last request has ended. */
+  /** Closes the open minute as well. Called during a planned stop, after the last request has finished. */
   closeLast (wallNow: number): void {
     this.closeMinutes(wallNow)
     if (this.openMinute !== undefined) this.closePage(this.openMinute, true)
   }
 
-  /** Pages that are not known to be written, oldest first. */
+  /** Lists the pages whose write has not been confirmed, oldest first. */
   listPages (): readonly AccountPage[] {
     return this.pages
   }
 
-  /** Drops the page of a minute, which the platform now holds. */
+  /** Removes the page of a minute once the platform has stored it. */
   removePage (minute: number): void {
     this.pages = this.pages.filter((page) => page.minute !== minute)
   }
 
-  /** What was dropped because the platform could not be written for too long. */
+  /** Returns the numbers of minutes and requests dropped because writes to the platform failed for too long. */
   getLost (): Readonly<{ minutes: number, requests: number }> {
     return this.lost
   }
--- a/packages/almondrelay/src/process/account/accountLimits.ts
+++ b/packages/almondrelay/src/process/account/accountLimits.ts
@@ -1,9 +1,9 @@
-/** Bounds of the account that a host holds in memory. */
+/** Limits of the account data that a host keeps in memory. */
 export const accountLimits = {
-  /** Distinct rows of a minute; requests beyond are counted in rows whose caller is `other`. */
+  /** Distinct rows per minute; further requests are counted in rows whose caller is `other`. */
   maxRows: 2_000,
-  /** Bytes of a page's rows, so that it stays under the platform's limit of a megabyte for a value. */
+  /** Bytes of a page's rows; keeps the page below the platform's limit of one megabyte per value. */
   maxPageBytes: 900_000,
-  /** Pages kept while the platform can't be written: an hour. The oldest goes first. */
+  /** Pages kept while writes to the platform fail: one hour's worth. The oldest page is dropped first. */
   maxPages: 60
 }
--- a/packages/almondrelay/src/process/account/accountMinute.ts
+++ b/packages/almondrelay/src/process/account/accountMinute.ts
@@ -10,7 +10,7 @@
 
 const MAX_NAME_LENGTH = 128
 
-/** The counts of one minute, bounded in rows and bytes. */
+/** The request counts of one minute, with a limited number of rows and bytes. */
 export class AccountMinute {
   /** Requests counted in the rows of OTHER_CALLER. */
   folded = 0
@@ -33,8 +33,8 @@
     return [...this.rows.values()]
   }
 
-  // A caller that sends a new name with each request would fill the memory of the host, and its
-  // page would pass the platform's limit for a value and be refused whole. So rows are bounded.
+  // Rows are limited because a caller that sends a new name with each request would otherwise exhaust the host's memory,
+  // and the platform would reject the whole page for exceeding its limit per value.
   private findRow (entry: AccountEntry): AccountRow | undefined {
     const row = makeRow(entry)
     const key = makeKey(row)
@@ -47,7 +47,7 @@
     return row
   }
 
-  // Outcome and reason stay, so there are at most outcomes times reasons of these rows.
+  // Only outcome and reason are kept, so the number of these rows is at most the number of outcomes times that of reasons.
   private findOtherRow (entry: AccountEntry): AccountRow {
     const row = { ...makeRow(entry), caller: OTHER_CALLER, service: '', target: '', region: '', availabilityZone: '', callerRegion: '' }
     const key = makeKey(row)
--- a/packages/almondrelay/src/process/account/accountPage.ts
+++ b/packages/almondrelay/src/process/account/accountPage.ts
@@ -1,7 +1,7 @@
 import { z } from 'zod'
 import { AccountRow } from './accountRow.js'
 
-/** What one incarnation of a host counted in one minute; never changed once made. */
+/** The request counts of one incarnation of a host for one minute; immutable once created. */
 const AccountPage = z.strictObject({
   host: z.string(),
   incarnation: z.number().int().min(0),
@@ -10,9 +10,9 @@
   rows: z.array(AccountRow),
   /** Requests counted in rows whose caller is `other`, because the page was full. */
   folded: z.number().int().min(0),
-  /** What this incarnation has dropped until now, because the platform could not be written for too long. */
+  /** Totals that this incarnation has dropped so far because writes to the platform failed for too long. */
   lost: z.strictObject({ minutes: z.number().int().min(0), requests: z.number().int().min(0) }),
-  /** The last page of a planned stop. */
+  /** True for the final page written during a planned stop. */
   last: z.boolean()
 })
 
--- a/packages/almondrelay/src/process/account/accountReader.ts
+++ b/packages/almondrelay/src/process/account/accountReader.ts
@@ -7,23 +7,26 @@
 import { parsePageKey } from './parsePageKey.js'
 
 const PREFIX = 'account/'
-/** Pages of one list call: under 15 MB even when each is at its bound. */
+/** Pages per list call: below 15 MB even when every page has its maximum size. */
 const LIST_LIMIT = 16
 const MINUTE_MS = 60_000
-/** The open minute, and one more in which a host writes the page of the last (see WRITE_SPREAD_MS of AccountWriter). */
+/**
+ * Minutes whose pages may still be missing: the open minute and the one before, whose page is written with a delay (see
+ * WRITE_SPREAD_MS in accountWriter.ts).
+ */
 const SETTLING_MINUTES = 2
-/** Sorts after every minute of an incarnation. */
+/** Sorts after all minutes of an incarnation. */
 const AFTER_MINUTES = '~'
 
-/** Reads the pages of all hosts from the platform and adds them up. */
+/** Reads the account pages of all hosts from the platform and sums them. */
 export class AccountReader {
   constructor (private readonly platform: KeyValueStore) {}
 
   /**
-   * The account of a span of wall time in milliseconds, both ends' minutes counted. `wallNow`
-   * tells of which minutes the hosts have had time to write their pages.
+   * Returns the account of a range of wall time in milliseconds; the minutes of both ends are included. `wallNow`
+   * determines for which minutes the hosts have had time to write their pages.
    *
-   * @throws AlmondrelayError of kind `platform-unavailable`; no part of an account is returned as the whole.
+   * @throws AlmondrelayError of kind `platform-unavailable`; a partial account is never returned.
    */
   async read (sinceMs: number, untilMs: number, wallNow: number, signal: AbortSignal): Promise<AccountReport> {
     const since = Math.floor(sinceMs / MINUTE_MS)
@@ -38,7 +41,7 @@
     return { ...mergePages(pages, since, until, Math.floor(wallNow / MINUTE_MS) - SETTLING_MINUTES), unreadable }
   }
 
-  // Keys sort by host, incarnation and minute, so minutes outside the span are jumped over.
+  // Keys sort by host, incarnation and minute, so the listing skips minutes outside the range.
   private async * listEntries (since: number, until: number, signal: AbortSignal): AsyncGenerator<PlatformEntry> {
     let after = ''
     for (;;) {
--- a/packages/almondrelay/src/process/account/accountRow.ts
+++ b/packages/almondrelay/src/process/account/accountRow.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod'
 
-/** Requests of one minute that agree in all of these; absent parts are empty texts. */
+/** Requests of one minute that are equal in all of these dimensions; an absent value is an empty string. */
 const AccountRow = z.strictObject({
   caller: z.string(),
   service: z.string(),
--- a/packages/almondrelay/src/process/account/accountWriter.ts
+++ b/packages/almondrelay/src/process/account/accountWriter.ts
@@ -6,10 +6,10 @@
 
 interface WriterOptions {
   wallNow: () => number
-  /** Resolves after the time, or when the signal aborts. */
+  /** Resolves after `ms`, or when the signal aborts. */
   sleep: (ms: number, signal: AbortSignal) => Promise<void>
   random: Random
-  /** Told of each failed write. */
+  /** Called for each failed write. */
   logFailure: (error: Error, waitMs: number) => void
 }
 
@@ -17,12 +17,12 @@
 const POLL_MS = 1_000
 const FIRST_BACKOFF_MS = 1_000
 const MAX_BACKOFF_MS = 30_000
-/** Hosts write at times spread over this much of a minute, so that 4,800 hosts make 160 writes a second for half of it, not all at once. */
+/** Hosts spread their writes over this part of a minute: 4,800 hosts then make 160 writes per second for 30 s instead of all at once. */
 const WRITE_SPREAD_MS = 30_000
-/** Longest time that a planned stop spends on the last pages. */
+/** Time limit for writing the last pages during a planned stop. */
 const LAST_WRITE_LIMIT_MS = 3_000
 
-/** Writes the ledger's pages to the platform, one at a time, oldest first. */
+/** Writes the ledger's pages to the platform sequentially, oldest first. */
 export class AccountWriter {
   private readonly delayMs: number
   private backoffMs = FIRST_BACKOFF_MS
@@ -43,10 +43,10 @@
   }
 
   /**
-   * Writes everything that is left, for a planned stop after the last request has ended.
-   * Returns how many pages could not be written.
+   * Writes all remaining pages. Called during a planned stop, after the last request has finished.
+   * Returns the number of pages that could not be written.
    *
-   * @param limitMs longest time for it
+   * @param limitMs Time limit in milliseconds.
    */
   async finish (limitMs = LAST_WRITE_LIMIT_MS): Promise<number> {
     this.ledger.closeLast(this.options.wallNow())
@@ -68,9 +68,9 @@
     return true
   }
 
-  // A page whose answer was lost is written again: counted twice, a manager would see more
-  // requests than were made. The key holds host, incarnation and minute, and only an absent key
-  // is written, so the second write finds the first and changes nothing.
+  // A page is written again when the answer to its write was lost. The account must not count that page twice: the key
+  // consists of host, incarnation and minute, and the write succeeds only for an absent key, so the repeated write has
+  // no effect.
   private async writePage (page: AccountPage, signal: AbortSignal): Promise<void> {
     await this.platform.put(formatPageKey(page.host, page.incarnation, page.minute), JSON.stringify(page), 0, signal)
   }
--- a/packages/almondrelay/src/process/account/callRecorder.ts
+++ b/packages/almondrelay/src/process/account/callRecorder.ts
@@ -5,7 +5,7 @@
 
 interface RecorderOptions {
   kind: DecisionKind
-  /** Names the instance in the log: host, incarnation, service and so on. */
+  /** Identifies the module instance in the log: host, incarnation, service and so on. */
   instance: string
   random: Random
   record: (decision: Decision) => void
@@ -13,14 +13,14 @@
 
 interface Call {
   call: string
-  /** Empty where the call is about no request. */
+  /** Empty when the call belongs to no request. */
   requestId: string
   given: readonly unknown[]
 }
 
-/** Records the calls to one decision module, with the chance that they drew, for `almondrelay replay`. */
+/** Records the calls to one decision module, with the random numbers that they drew, for `almondrelay replay`. */
 export class CallRecorder {
-  /** The module's source of chance; what it gives is recorded. */
+  /** Random source for the module; the numbers it returns are recorded. */
   readonly random: Random
   private draws: number[] = []
 
--- a/packages/almondrelay/src/process/account/decision.ts
+++ b/packages/almondrelay/src/process/account/decision.ts
@@ -2,12 +2,12 @@
 import type { Json } from './json.js'
 
 /**
- * One decision with what was known and what came of it. `input` holds everything that the
- * module which decided was given, so that the decision can be made again from the log line.
+ * One decision with its input and its result. `input` holds all arguments of the deciding module, so that the decision
+ * can be replayed from the log line.
  */
 export interface Decision {
   decision: DecisionKind
-  /** Id of the request; empty where the decision is about none. */
+  /** Id of the request; empty when the decision belongs to none. */
   requestId: string
   input: Json
   output: Json
--- a/packages/almondrelay/src/process/account/decisionKind.ts
+++ b/packages/almondrelay/src/process/account/decisionKind.ts
@@ -1,4 +1,4 @@
-/** The decisions that are logged, in the order in which a request meets them. */
+/** The kinds of logged decisions, in the order in which they are made for a request. */
 const DecisionKind = {
   lookup: 'lookup',
   journal: 'journal',
--- a/packages/almondrelay/src/process/account/decisionLog.ts
+++ b/packages/almondrelay/src/process/account/decisionLog.ts
@@ -1,7 +1,7 @@
 import type Logger from 'bunyan'
 import type { Decision } from './decision.js'
 
-/** Writes one log line for each decision; `almondrelay explain` and `replay` read them. */
+/** Writes one log line per decision; `almondrelay explain` and `almondrelay replay` read these lines. */
 export class DecisionLog {
   constructor (private readonly log: Logger) {}
 
--- a/packages/almondrelay/src/process/account/mergePages.ts
+++ b/packages/almondrelay/src/process/account/mergePages.ts
@@ -5,11 +5,11 @@
 import { mergeRows } from './mergeRows.js'
 
 /**
- * Pages of many hosts as one report. A page that is given twice counts once.
+ * Merges the pages of all hosts into one report. A page that occurs twice is counted once.
  *
- * @param since First minute, counted.
- * @param until Last minute, counted.
- * @param settled Last minute of which every live host has had time to write its page.
+ * @param since First minute, inclusive.
+ * @param until Last minute, inclusive.
+ * @param settled Last minute for which every live host has had time to write its page.
  */
 export function mergePages (pages: Iterable<AccountPage>, since: number, until: number, settled: number): Omit<AccountReport, 'unreadable'> {
   const byKey = new Map([...pages].map((page) => [formatPageKey(page.host, page.incarnation, page.minute), page]))
@@ -28,7 +28,7 @@
   }
 }
 
-// Each incarnation's pages in order of time.
+// Groups pages by incarnation, in chronological order.
 const splitByIncarnation = (pages: readonly AccountPage[]): AccountPage[][] => {
   const groups = new Map<string, AccountPage[]>()
   for (const page of pages) {
--- a/packages/almondrelay/src/process/account/mergeRows.ts
+++ b/packages/almondrelay/src/process/account/mergeRows.ts
@@ -2,7 +2,7 @@
 import { accountDimensions } from './accountDimensions.js'
 import type { AccountRow } from './accountRow.js'
 
-/** Rows added up by the given dimensions; the other dimensions are empty in the result. */
+/** Sums rows by the given dimensions; the other dimensions are empty in the result. */
 export function mergeRows (rows: Iterable<AccountRow>, by: readonly AccountDimension[] = accountDimensions): AccountRow[] {
   const merged = new Map<string, AccountRow>()
   for (const row of rows) {
--- a/packages/almondrelay/src/process/account/otherCaller.ts
+++ b/packages/almondrelay/src/process/account/otherCaller.ts
@@ -1,2 +1,2 @@
-/** Caller of the rows that count what found no row of its own in a full page. */
+/** Caller in the rows that count the requests for which a full page had no row. */
 export const OTHER_CALLER = 'other'
--- a/packages/almondrelay/src/process/account/recordedAdmissionQueue.ts
+++ b/packages/almondrelay/src/process/account/recordedAdmissionQueue.ts
@@ -5,7 +5,7 @@
 import type { QueuedRequest } from '../../request/admission/queuedRequest.js'
 import type { CallRecorder } from './callRecorder.js'
 
-/** An admission queue whose calls are logged so that they can be replayed. */
+/** Admission queue that logs its calls, so that they can be replayed. */
 export class RecordedAdmissionQueue extends AdmissionQueue {
   constructor (options: Partial<AdmissionOptions>, private readonly recorder: CallRecorder) {
     super(options, recorder.random)
--- a/packages/almondrelay/src/process/account/recordedCall.ts
+++ b/packages/almondrelay/src/process/account/recordedCall.ts
@@ -1,17 +1,17 @@
 import { z } from 'zod'
 
 /**
- * A call to a decision module with everything that went in: the input of a log line that can be
- * run again.
+ * A call to a decision module with all its inputs: the `input` of a decision log line that can be
+ * replayed.
  */
 const RecordedCall = z.strictObject({
-  /** Which instance of the module was called: host, incarnation, service and so on; empty for a function without state. */
+  /** Identifies the module instance that was called: host, incarnation, service and so on; empty for a stateless function. */
   instance: z.string(),
-  /** Name of the method or function; `create` for the making of the instance. */
+  /** Name of the method or function; `create` for the construction of the instance. */
   call: z.string(),
-  /** Its arguments in their order, the present time among them. */
+  /** Arguments in order, including the current time. */
   given: z.array(z.unknown()),
-  /** What the source of chance gave during the call. */
+  /** Numbers that the random source returned during the call. */
   draws: z.array(z.number())
 })
 
--- a/packages/almondrelay/src/process/account/recordedTargetChooser.ts
+++ b/packages/almondrelay/src/process/account/recordedTargetChooser.ts
@@ -6,7 +6,7 @@
 import type { TargetSpec } from '../../version/resources/targetSpec.js'
 import type { CallRecorder } from './callRecorder.js'
 
-/** A target chooser whose calls are logged so that they can be replayed. */
+/** Target chooser that logs its calls, so that they can be replayed. */
 export class RecordedTargetChooser extends TargetChooser {
   constructor (private readonly recorder: CallRecorder) {
     super()
@@ -17,12 +17,12 @@
     this.recorder.run({ call: 'adoptTargets', requestId: '', given: [targets, now] }, () => super.adoptTargets(targets, now))
   }
 
-  /** The recorder's source of chance is used, since only its draws are recorded. */
+  /** Uses the recorder's random source, since only the numbers drawn from it are recorded. */
   override choose (free: ReadonlyMap<string, number>, exclude: ReadonlySet<string>, now: number, _random: Random): TargetChoice | undefined {
     return this.recorder.run({ call: 'choose', requestId: '', given: [free, exclude, now] }, () => super.choose(free, exclude, now, this.recorder.random))
   }
 
-  /** It may take a silent target's work away. */
+  /** Recorded because the call may change the state of a target that sends no answers. */
   override allow (target: string, now: number): boolean {
     return this.recorder.run({ call: 'allow', requestId: '', given: [target, now] }, () => super.allow(target, now))
   }
--- a/packages/almondrelay/src/process/account/toJson.ts
+++ b/packages/almondrelay/src/process/account/toJson.ts
@@ -1,6 +1,6 @@
 import type { Json } from './json.js'
 
-/** A value as JSON holds it: maps become objects, sets lists, and what is undefined null. */
+/** Converts a value to JSON: maps become objects, sets become arrays, and an undefined value becomes null. */
 export function toJson (value: unknown): Json {
   const text = JSON.stringify(value, (_, each: unknown) => {
     if (each instanceof Map) return Object.fromEntries(each)
--- a/packages/almondrelay/src/process/daemon/accountRecorder.ts
+++ b/packages/almondrelay/src/process/daemon/accountRecorder.ts
@@ -16,7 +16,7 @@
   getConfiguration: () => Configuration | undefined
 }
 
-/** Counts every final answer in the account and the metrics, and logs it. */
+/** Records every final answer in the account, the metrics and the decision log. */
 export class AccountRecorder extends AnswerRecorder {
   constructor (private readonly parts: AccountRecorderParts) {
     super()
@@ -51,7 +51,7 @@
     })
   }
 
-  /** Where the target stands; this host's zone where none got the request. */
+  /** Returns the zone of the target, or this host's zone when the request was sent to no target. */
   private findZone (service: string, target: string | undefined): Pick<HostIdentity, 'region' | 'availabilityZone'> {
     const configuration = this.parts.getConfiguration()
     const spec = target === undefined ? undefined : configuration?.get('Service', service)?.spec.targets.find((each) => each.name === target)
--- a/packages/almondrelay/src/process/daemon/batchedOutput.ts
+++ b/packages/almondrelay/src/process/daemon/batchedOutput.ts
@@ -1,12 +1,12 @@
 import { Writable } from 'node:stream'
 
-/** Lines are held back at most so long, in milliseconds, or until so many bytes of them wait. */
+/** Buffered lines are written after this time in milliseconds, or once this many bytes are buffered. */
 const HOLD_MS = 20
 const HOLD_BYTES = 65_536
 
 /**
- * Writes log lines in batches: a write to a pipe or file blocks the process, and a request has four
- * lines. A process that is killed loses the lines of its last HOLD_MS.
+ * Writes log lines in batches, since each write to a pipe or file blocks the process and a request logs four
+ * lines. A killed process loses the lines of its last FLUSH_DELAY_MS.
  */
 export class BatchedOutput extends Writable {
   private held: Buffer[] = []
@@ -25,7 +25,7 @@
     done()
   }
 
-  /** Writes what is held back; to be called before the process ends. */
+  /** Writes the buffered lines; must be called before the process exits. */
   flush (): void {
     clearTimeout(this.timer)
     this.timer = undefined
--- a/packages/almondrelay/src/process/daemon/buildHost.ts
+++ b/packages/almondrelay/src/process/daemon/buildHost.ts
@@ -35,8 +35,8 @@
 const MAX_SEED = 2 ** 32
 
 /**
- * Makes the objects of a host; nothing is opened or sent yet. The signal ends what they start later;
- * `fail` is called where the process must not go on.
+ * Creates the objects of a host without opening ports or sending anything. The signal ends the work that these objects
+ * start later; `fail` is called when the process must stop.
  */
 export function buildHost (settings: HostSettings, log: Logger, signal: AbortSignal, fail: () => void): Host {
   const clock = new SystemClock()
@@ -121,11 +121,11 @@
 }
 
 /**
- * Failure: this process was paused, its peers had evidence that it ended and gave what it held to
- * others, and it wakes and goes on with it. A peer's refusal says so, and the process ends.
+ * Stops this process when a peer refuses it as stale or declared gone. Such a process was paused, and its peers, having
+ * evidence that it had ended, reassigned the slots and limits that it held; resuming would use these twice.
  */
 function handleRefusal (refusal: PeerRefusal, peer: string, log: Logger, fail: () => void): void {
-  log.error({ refusal, peer }, 'a peer refuses this host')
+  log.error({ refusal, peer }, 'a peer refused this host')
   if (refusal === PeerRefusal.staleIncarnation || refusal === PeerRefusal.declaredGone) fail()
 }
 
--- a/packages/almondrelay/src/process/daemon/buildLimits.ts
+++ b/packages/almondrelay/src/process/daemon/buildLimits.ts
@@ -31,7 +31,10 @@
 
 type Limits = Pick<Host, 'slots' | 'limits' | 'lender' | 'capacity' | 'rosterKeeper' | 'slotLeases' | 'lenderKeeper' | 'loans'>
 
-/** Makes what keeps this host within the limits of targets, regions, links and shifts, and the tasks that carry it between hosts. */
+/**
+ * Creates the objects that enforce the limits of targets, regions, links and shifts on this host, and the tasks that
+ * coordinate these limits with peers.
+ */
 export function buildLimits (base: LimitsBase): Limits {
   const { identity, platform, clock, random, log, directory, links, isWatcher } = base
   const self = { name: identity.host, incarnation: identity.incarnation }
--- a/packages/almondrelay/src/process/daemon/buildRequestPath.ts
+++ b/packages/almondrelay/src/process/daemon/buildRequestPath.ts
@@ -41,14 +41,14 @@
   peerRequests: PeerRequests
 }
 
-/** Bytes of answers that the journal keeps; a quarter of what a host may use for control. */
+/** Bytes of answers that the journal keeps: a quarter of the memory that a host may use for control data. */
 const MAX_JOURNAL_BYTES = 64 * 1_048_576
-/** Callers' clocks may run ahead by this much. */
+/** Time by which callers' clocks may run ahead. */
 const MAX_SKEW_MS = 5_000
-/** Longer than any credit is valid, and long enough for a peer that lost its connection to ask. */
+/** Longer than any credit is valid, and long enough for a peer that lost its connection to query the attempt. */
 const KEEP_ATTEMPT_MS = 30_000
 
-/** Makes what a request passes through, from admission to its answer. */
+/** Creates the components that process a request from admission to its answer. */
 export function buildRequestPath (base: PathBase, signal: AbortSignal): RequestPath {
   const { identity, clock, random, modules, recorder, slots, directory, links, targets } = base
   const { maxQueued, maxDeadlineMs, maxJournalEntries, journalRetentionMs } = base.requests
--- a/packages/almondrelay/src/process/daemon/buildStatusHooks.ts
+++ b/packages/almondrelay/src/process/daemon/buildStatusHooks.ts
@@ -5,7 +5,7 @@
 import { LimitKind } from '../limits/limitKind.js'
 import type { RegionLimits } from '../limits/regionLimits.js'
 
-/** Figures for the status of resources, as this host counts them. */
+/** Returns the functions that count this host's share of the figures in the status of resources. */
 export function buildStatusHooks (services: Services, limits: RegionLimits): StatusHooks {
   return {
     countWorkLeft: (drain) => {
@@ -20,7 +20,7 @@
   }
 }
 
-/** Requests that run on the drained target, or on every drained target of this host's zone. */
+/** Counts the requests that run on the given target or, when none is given, on all drained targets of this host's zone. */
 function countRunning (runtime: ServiceRuntime, target: string | undefined): number {
   const targets = runtime.listTargets().filter((each) => target === undefined ? runtime.isDrained(each.name) : each.name === target)
   return targets.reduce((sum, each) => sum + runtime.chooser.countRunning(each.name), 0)
--- a/packages/almondrelay/src/process/daemon/closeHost.ts
+++ b/packages/almondrelay/src/process/daemon/closeHost.ts
@@ -1,6 +1,6 @@
 import type { Host } from './host.js'
 
-/** Writes the last pages of the account and closes what is open; the tasks have ended before. */
+/** Writes the last account pages and closes connections and metrics. Must be called after all tasks have ended. */
 export async function closeHost (host: Host): Promise<void> {
   const { accountWriter, targets, metrics, log } = host
   const unwritten = await accountWriter.finish()
--- a/packages/almondrelay/src/process/daemon/decisionLogRecorder.ts
+++ b/packages/almondrelay/src/process/daemon/decisionLogRecorder.ts
@@ -2,7 +2,7 @@
 import type { Decision } from '../account/decision.js'
 import { DecisionRecorder } from '../dispatch/decisionRecorder.js'
 
-/** Decisions as lines of the decision log. */
+/** Writes decisions to the decision log. */
 export class DecisionLogRecorder extends DecisionRecorder {
   constructor (private readonly log: DecisionLog) {
     super()
--- a/packages/almondrelay/src/process/daemon/followHostList.ts
+++ b/packages/almondrelay/src/process/daemon/followHostList.ts
@@ -6,8 +6,8 @@
 const TARGET_ROLE = 'target'
 
 /**
- * Reads the platform's lagging list of hosts and targets: entry hosts to get to know, and targets that
- * leave. Only the zone's watchers read it, so the platform sees two calls a second and zone.
+ * Polls the platform's list of hosts and targets, which lags behind, to discover entry hosts and leaving targets.
+ * Only the zone's two watchers read the list, so the platform receives two calls per second per zone.
  */
 export async function followHostList (host: Host, signal: AbortSignal): Promise<void> {
   const { clock } = host
@@ -22,7 +22,7 @@
   try {
     for (const listed of await host.platform.listHosts(signal)) observeListed(host, source, listed)
   } catch (error) {
-    if (!signal.aborted) host.log.debug({ err: error }, 'host list not read; the last one holds')
+    if (!signal.aborted) host.log.debug({ err: error }, 'host list could not be read; keeping the last known list')
   }
 }
 
--- a/packages/almondrelay/src/process/daemon/host.ts
+++ b/packages/almondrelay/src/process/daemon/host.ts
@@ -31,7 +31,7 @@
 import type { HostSettings } from '../settings/hostSettings.js'
 import type { Metrics } from './metrics.js'
 
-/** The objects that live as long as the process. */
+/** The objects of a running host; they exist for the lifetime of the process. */
 export interface Host {
   settings: HostSettings
   identity: HostIdentity
@@ -49,7 +49,7 @@
   slots: HostSlots
   limits: RegionLimits
   lender: RegionLender
-  /** Slots and limits together. */
+  /** Combines slots and limits. */
   capacity: HostCapacity
   services: Services
   rosterKeeper: RosterKeeper
--- a/packages/almondrelay/src/process/daemon/memberDirectory.ts
+++ b/packages/almondrelay/src/process/daemon/memberDirectory.ts
@@ -5,10 +5,10 @@
 import { MemberState } from '../membership/memberState.js'
 import type { Clock } from '../platform/clock.js'
 
-/** Age at which the list is made anew, in milliseconds; heartbeats are 250 ms apart. */
+/** Age in milliseconds at which the list is rebuilt; short compared with the heartbeat interval of 250 ms. */
 const LIST_MS = 25
 
-/** The entry hosts as membership knows them; the list is made at most once in LIST_MS. */
+/** Directory of the entry hosts known to membership; the list is cached for MAX_LIST_AGE_MS or until membership changes. */
 export class MemberDirectory extends HostDirectory {
   private listed: KnownHost[] = []
   private byName = new Map<string, KnownHost>()
--- a/packages/almondrelay/src/process/daemon/metrics.ts
+++ b/packages/almondrelay/src/process/daemon/metrics.ts
@@ -2,7 +2,7 @@
 import { splitAddress } from '../../connection/splitAddress.js'
 import type { HostSettings } from '../settings/hostSettings.js'
 
-/** Metrics over StatsD; silent where the settings name no receiver. */
+/** Sends metrics over StatsD; sends nothing when the settings name no receiver. */
 export class Metrics {
   private readonly client: StatsD | undefined
 
--- a/packages/almondrelay/src/process/daemon/plainModules.ts
+++ b/packages/almondrelay/src/process/daemon/plainModules.ts
@@ -11,7 +11,7 @@
 import { DecisionModules } from '../dispatch/decisionModules.js'
 import type { DecisionRecorder } from '../dispatch/decisionRecorder.js'
 
-/** The modules themselves; placements and look-up weights are logged with what was known. */
+/** Decision modules without call recording; placements and look-up weights are logged with their input. */
 export class PlainModules extends DecisionModules {
   constructor (private readonly random: Random, private readonly recorder: DecisionRecorder) {
     super()
--- a/packages/almondrelay/src/process/daemon/probeTargets.ts
+++ b/packages/almondrelay/src/process/daemon/probeTargets.ts
@@ -11,7 +11,7 @@
 const PROBE_TIMEOUT_MS = 1_000
 const MAX_HEALTH_BYTES = 4_096
 
-/** Asks the targets that this host owns, each second, for their health, load and whether they are leaving. */
+/** Polls the targets that this host owns every second for their health, their load and whether they are leaving. */
 export async function probeTargets (host: Host, signal: AbortSignal): Promise<void> {
   const { clock, services, slots } = host
   const source = new LeavingSource(host.leavingTargets)
@@ -35,6 +35,6 @@
     runtime.observeReport(target.name, health, clock.getNow())
     source.observe(runtime.name, target.name, health.leaving, clock.getNow())
   } catch (error) {
-    log.debug({ err: error, target: target.name }, 'health answer not understood; what is measured here holds')
+    log.debug({ err: error, target: target.name }, 'health answer could not be parsed; using local measurements only')
   }
 }
--- a/packages/almondrelay/src/process/daemon/readAccount.ts
+++ b/packages/almondrelay/src/process/daemon/readAccount.ts
@@ -10,7 +10,7 @@
 
 const DEFAULT_SPAN_MS = 3_600_000
 
-/** The account of a span that an operator names by two ISO 8601 times; the last hour where none is named. */
+/** Reads the account of a time range given as ISO 8601 times or milliseconds since 1970; defaults to the last hour. */
 export function readAccount (reader: AccountReader, query: AccountQuery, wallNow: number, signal: AbortSignal): Promise<AccountReport> {
   const until = query.until === undefined ? wallNow : parseTime('until', query.until)
   const since = query.since === undefined ? until - DEFAULT_SPAN_MS : parseTime('since', query.since)
--- a/packages/almondrelay/src/process/daemon/recordedModules.ts
+++ b/packages/almondrelay/src/process/daemon/recordedModules.ts
@@ -22,7 +22,7 @@
   recorder: DecisionRecorder
 }
 
-/** The modules with every call logged, so that `almondrelay replay` can make it again. */
+/** Decision modules that log every call, so that `almondrelay replay` can repeat it. */
 export class RecordedModules extends DecisionModules {
   private readonly placements: CallRecorder
   private readonly lookups: CallRecorder
--- a/packages/almondrelay/src/process/daemon/reportLoad.ts
+++ b/packages/almondrelay/src/process/daemon/reportLoad.ts
@@ -1,11 +1,11 @@
 import type { Host } from './host.js'
 
-/** Loads travel on heartbeats; no need to count them more often. */
+/** Loads are sent with heartbeats, so counting them more often has no use. */
 const REPORT_MS = 100
 
 /**
- * Keeps pace with what changes by time alone: targets that are said to be leaving, slots that became
- * free, and the load that heartbeats tell the peers.
+ * Periodically applies changes that trigger no event: targets reported as leaving, slots that became
+ * free, and the load that heartbeats report to peers.
  */
 export async function reportLoad (host: Host, signal: AbortSignal): Promise<void> {
   const { clock, membership, leavingTargets, services, slots, capacity, metrics } = host
--- a/packages/almondrelay/src/process/daemon/runTasks.ts
+++ b/packages/almondrelay/src/process/daemon/runTasks.ts
@@ -11,7 +11,7 @@
 import { probeTargets } from './probeTargets.js'
 import { reportLoad } from './reportLoad.js'
 
-/** Runs everything that a host does all the time; resolves after the signal has aborted and each has ended. */
+/** Runs the background tasks of a host; resolves after the signal has aborted and every task has ended. */
 export async function runTasks (host: Host, signal: AbortSignal): Promise<void> {
   followConfiguration(host, signal)
   followMembership(host, signal)
@@ -30,7 +30,7 @@
   ])
 }
 
-/** Every revision that the store takes is put in force at once. */
+/** Applies every revision that the store accepts immediately. */
 function followConfiguration (host: Host, signal: AbortSignal): void {
   const { store, services, clock, log } = host
   store.subscribe((configuration) => {
@@ -58,7 +58,7 @@
   lender.adoptLimits(listLimits(configuration, identity.region), zones, maxDeadlineMs)
 }
 
-/** Definitive evidence, and nothing less, frees what a host held. */
+/** Releases what a host held only when there is definitive evidence that the host has ended. */
 function followMembership ({ membership, slots, limits, lender, services, clock, log }: Host, signal: AbortSignal): void {
   const unsubscribe = membership.subscribe((event) => {
     if (event.kind !== 'gone') return
--- a/packages/almondrelay/src/process/daemon/stopHost.ts
+++ b/packages/almondrelay/src/process/daemon/stopHost.ts
@@ -5,9 +5,9 @@
 const CHECK_MS = 20
 
 /**
- * A planned stop. Look-ups stop naming this host at once; it serves on until the answers that callers
- * keep have run out and everything in flight is finished, or the limit has passed. Returns the
- * number of requests that were cut off, each named in the log.
+ * Performs a planned stop. Look-ups stop returning this host immediately; the host continues to serve until the look-up
+ * answers cached by callers have expired and all requests in flight have finished, or the time limit has passed.
+ * Returns the number of requests that were cut off; the log names each of them.
  */
 export async function stopHost (host: Host, servers: Server[]): Promise<number> {
   const { clock, settings, log, handler, runner } = host
@@ -25,7 +25,7 @@
   return unfinished
 }
 
-/** Connections that callers keep open are closed as soon as they are idle. */
+/** Closes the server, and keep-alive connections as soon as they are idle. */
 async function closeServer (server: Server, clock: Clock, force: boolean): Promise<void> {
   const closed = new AbortController()
   server.close(() => { closed.abort() })
--- a/packages/almondrelay/src/process/errors/almondrelayError.ts
+++ b/packages/almondrelay/src/process/errors/almondrelayError.ts
@@ -3,14 +3,14 @@
 
 interface ErrorParts {
   kind: ErrorKind
-  /** What is wrong and where. */
+  /** What failed, and where. */
   message: string
-  /** What the reader should do or write instead. */
+  /** How the reader can correct the problem. */
   remedy: string
   cause?: Error
 }
 
-/** An error with a kind for programs and a message that ends with the remedy. */
+/** Error with a machine-readable kind and a message that ends with the remedy. */
 export class AlmondrelayError extends VError {
   readonly kind: ErrorKind
   readonly remedy: string
--- a/packages/almondrelay/src/process/errors/errorKind.ts
+++ b/packages/almondrelay/src/process/errors/errorKind.ts
@@ -1,4 +1,4 @@
-/** What went wrong, for programs; the message is for people. */
+/** Machine-readable error kinds. */
 const ErrorKind = {
   settingsInvalid: 'settings-invalid',
   resourceInvalid: 'resource-invalid',
--- a/packages/almondrelay/src/process/platform/__fixtures__/fakeClock.ts
+++ b/packages/almondrelay/src/process/platform/__fixtures__/fakeClock.ts
@@ -5,7 +5,7 @@
   wake: () => void
 }
 
-/** Virtual time: it moves only in `advance`, timer by timer, with every task run dry between. */
+/** Virtual clock: time moves only in `advance`, timer by timer, and all pending tasks run between two timers. */
 export class FakeClock extends Clock {
   private now = 0
   private timers: Timer[] = []
@@ -43,7 +43,7 @@
     this.now = end
   }
 
-  /** Lets every task run until it waits for time. */
+  /** Runs pending tasks until all of them wait for a timer. */
   async flush (): Promise<void> {
     await new Promise<void>((resolve) => { setImmediate(resolve) })
     await new Promise<void>((resolve) => { setImmediate(resolve) })
--- a/packages/almondrelay/src/process/platform/__fixtures__/fakePlatform.ts
+++ b/packages/almondrelay/src/process/platform/__fixtures__/fakePlatform.ts
@@ -16,26 +16,26 @@
 
 const TIMEOUT_MS = 1_000
 
-/** Faults of the platform; each stays until it is switched back or used up. */
+/** Injected platform faults; each stays active until it is reset or used up. */
 class FakePlatformFaults {
   /** No call is answered. */
   outage = false
   /** Delay before a call takes effect. */
   slowMs = 0
-  /** The next writes that take effect without their answer coming back. */
+  /** Number of next writes that take effect but whose answers are lost. */
   lostAnswers = 0
-  /** The next writes that are lost on their way, with no effect. */
+  /** Number of next writes that are lost before they take effect. */
   lostWrites = 0
-  /** The next writes that take effect only this long after their writer gave up. */
+  /** When positive, the next write takes effect only this long after its timeout. */
   lateWriteMs = 0
-  /** Watches report nothing, and end only when their wait is over. */
+  /** Watches report no events and end only when their waiting time is over. */
   watchesStopped = false
 }
 
-/** An in-memory platform in virtual time, shared by the hosts of a test. */
+/** In-memory platform in virtual time, shared by the hosts of a test. */
 export class FakePlatform extends Platform {
   readonly faults = new FakePlatformFaults()
-  /** Calls by method, to check what the platform is asked to bear. */
+  /** Number of calls by method, to check the load on the platform. */
   readonly calls = new Map<string, number>()
   hosts: PlatformHost[] = []
   private readonly entries = new Map<string, PlatformEntry & { leaseId?: string }>()
@@ -105,7 +105,7 @@
     return structuredClone(this.hosts)
   }
 
-  /** Ends a lease as the platform does when its holder is paused for too long. */
+  /** Expires a lease as the platform does when its holder is paused for too long. */
   expireLease (leaseId: string): void {
     if (!this.leases.delete(leaseId)) return
     for (const entry of [...this.entries.values()]) {
--- a/packages/almondrelay/src/process/platform/__tests__/httpPlatform.test.ts
+++ b/packages/almondrelay/src/process/platform/__tests__/httpPlatform.test.ts
@@ -39,7 +39,7 @@
   return (error as AlmondrelayError).kind
 }
 
-test('each call has the method, path and body of the documented surface', async () => {
+test('each call has the documented method, path and body', async () => {
   const seen: string[] = []
   const entry = { key: 'changes/000000000001', value: 'v', version: 1 }
   await runWithServer((request, body, response) => {
@@ -74,9 +74,9 @@
   ])
 })
 
-// A host waits on the platform for good: the platform took the request and then went silent,
-// or stopped in the middle of its answer. Each call must end by its own deadline.
-test('a platform that takes a call and goes silent is unavailable', async () => {
+// A host must not wait forever on a platform that accepts a request and sends no answer, or only a part of one: each
+// call must end by its own deadline.
+test('a platform that accepts a call and sends no answer is unavailable', async () => {
   await runWithServer((request, _body, response) => {
     if (request.url?.includes('half')) response.writeHead(200, { 'content-length': '100' }).write('{"key"')
   }, async (platform) => {
@@ -86,7 +86,7 @@
   })
 })
 
-test('an abort ends a call, and a server error or a strange body is no answer', async () => {
+test('an abort ends a call, and a server error or an invalid body is not an answer', async () => {
   await runWithServer((request, _body, response) => {
     if (request.url?.includes('error')) return sendAnswer(response, 503, {})
     if (request.url?.includes('strange')) return sendAnswer(response, 200, { hello: 1 })
@@ -102,7 +102,7 @@
   })
 })
 
-test('a platform whose process is gone is unavailable', async () => {
+test('a platform whose process has exited is unavailable', async () => {
   let gone: HttpPlatform | undefined
   await runWithServer(() => {}, async (platform) => { gone = platform })
   const platform = new HttpPlatform({ url: 'http://127.0.0.1:1', timeoutMs: 200 })
--- a/packages/almondrelay/src/process/platform/httpPlatform.ts
+++ b/packages/almondrelay/src/process/platform/httpPlatform.ts
@@ -9,14 +9,14 @@
 import type { PlatformPutResult } from './platformPutResult.js'
 import type { PlatformWatchResult } from './platformWatchResult.js'
 
-/** Connections to the platform: two waiting watches and a few short calls at once. */
+/** Connections to the platform: enough for two pending watches and a few concurrent short calls. */
 const MAX_CONNECTIONS = 8
 const IDLE_CONNECTION_MS = 4_000
 
 interface HttpPlatformOptions {
-  /** Base of the service, such as `http://10.0.0.1:7000`. */
+  /** Base URL of the service, such as `http://10.0.0.1:7000`. */
   url: string
-  /** Time for a whole answer; a watch has its wait on top. */
+  /** Timeout for a whole answer; for a watch, its waiting time is added. */
   timeoutMs: number
 }
 
@@ -24,9 +24,9 @@
   method: 'GET' | 'PUT' | 'POST' | 'DELETE'
   path: string
   body?: object
-  /** Time for which the platform may hold the call before it answers. */
+  /** Time for which the platform may delay its answer. */
   waitMs?: number
-  /** Statuses that are answers; any other one is an error. */
+  /** Status codes of valid answers; any other status is an error. */
   statuses: readonly number[]
 }
 
@@ -36,11 +36,10 @@
 }
 
 /**
- * The platform over HTTP, as docs/architecture.md lists the calls.
+ * Client of the platform's HTTP service; docs/architecture.md lists the calls.
  *
- * Guards against a connection that went silent for good: each call has a deadline for the whole
- * answer, body included, after which its connection is closed and the call rejects, so no caller
- * waits on a platform that will not answer.
+ * Each call has a deadline for the whole answer, body included, after which its connection is closed and the call
+ * rejects. Without it, a call would wait forever on a connection over which no more data arrives.
  */
 export class HttpPlatform extends Platform {
   private readonly agent: Agent
@@ -136,7 +135,7 @@
 
 const makeKeyPath = (key: string): string => `/v1/kv/${encodeURIComponent(key)}`
 
-/** A server error says nothing of whether a write took effect; a client error says that it didn't. */
+/** Distinguishes server errors, after which a write may or may not have taken effect, from client errors, after which it has not. */
 function checkStatus (call: Call, status: number): void {
   if (call.statuses.includes(status)) return
   if (status >= 500) throw new Error(`status ${status}`)
--- a/packages/almondrelay/src/process/platform/keyValueStore.ts
+++ b/packages/almondrelay/src/process/platform/keyValueStore.ts
@@ -2,8 +2,8 @@
 import type { PlatformPutResult } from './platformPutResult.js'
 
 /**
- * Keys with values that change by compare-and-swap. Every method rejects with an AlmondrelayError of kind
- * `platform-unavailable` when no answer came; a write may then have taken effect.
+ * Key-value store with compare-and-swap writes. Every method rejects with an AlmondrelayError of kind
+ * `platform-unavailable` when no answer was received; a write may nevertheless have taken effect.
  */
 export abstract class KeyValueStore {
   abstract get (key: string, signal: AbortSignal): Promise<PlatformEntry | undefined>
@@ -11,6 +11,6 @@
   abstract put (key: string, value: string, expectedVersion: number, signal: AbortSignal): Promise<PlatformPutResult>
   /** Deletes the key if its version is `expectedVersion`. */
   abstract delete (key: string, expectedVersion: number, signal: AbortSignal): Promise<PlatformPutResult>
-  /** Entries under a prefix in key order, at most `limit`, after the key `after`. */
+  /** Returns up to `limit` entries under a prefix in key order, starting after the key `after`. */
   abstract list (prefix: string, after: string, limit: number, signal: AbortSignal): Promise<PlatformEntry[]>
 }
--- a/packages/almondrelay/src/process/platform/platformEntry.ts
+++ b/packages/almondrelay/src/process/platform/platformEntry.ts
@@ -2,6 +2,6 @@
 export interface PlatformEntry {
   key: string
   value: string
-  /** Rises with each write to this key; 0 stands for an absent key. */
+  /** Increases with each write to this key; 0 stands for an absent key. */
   version: number
 }
--- a/packages/almondrelay/src/process/platform/platformHost.ts
+++ b/packages/almondrelay/src/process/platform/platformHost.ts
@@ -1,4 +1,4 @@
-/** An entry of the platform's lagging list of machines: entry hosts and targets. */
+/** An entry of the platform's list of entry hosts and targets; the list may be out of date. */
 export interface PlatformHost {
   name: string
   /** `entry` or `target`. */
--- a/packages/almondrelay/src/process/platform/platformWatchResult.ts
+++ b/packages/almondrelay/src/process/platform/platformWatchResult.ts
@@ -1,8 +1,8 @@
 import type { PlatformEntry } from './platformEntry.js'
 
-/** Events after a sequence, in order. */
+/** Events after a sequence number, in order. */
 export interface PlatformWatchResult {
   events: Array<PlatformEntry & { sequence: number, deleted: boolean }>
-  /** Pass it to the next watch. */
+  /** Sequence number to pass to the next watch. */
   sequence: number
 }
--- a/packages/almondrelay/src/process/platform/sleepFor.ts
+++ b/packages/almondrelay/src/process/platform/sleepFor.ts
@@ -1,6 +1,6 @@
 /**
- * Resolves after some milliseconds, or as soon as the signal aborts; never rejects. Made by hand: the library's way
- * rejects with a new error at each abort, which took 8% of a host under load.
+ * Resolves after `ms` milliseconds, or as soon as the signal aborts; never rejects. `setTimeout` of node:timers/promises
+ * is not used, because it rejects with a new error on each abort, which took 8% of the CPU time of a host under load.
  */
 export function sleepFor (ms: number, signal: AbortSignal): Promise<void> {
   return new Promise((resolve) => {
--- a/packages/almondrelay/src/process/platform/systemClock.ts
+++ b/packages/almondrelay/src/process/platform/systemClock.ts
@@ -2,7 +2,7 @@
 import { Clock } from './clock.js'
 import { sleepFor } from './sleepFor.js'
 
-/** The clocks of this machine. */
+/** Clock that reads the monotonic and wall time of this machine. */
 export class SystemClock extends Clock {
   private readonly wallOrigin = Date.now() - performance.now()
 
--- a/packages/almondrelay/src/process/runDaemon.ts
+++ b/packages/almondrelay/src/process/runDaemon.ts
@@ -18,11 +18,11 @@
 import type { HostSettings } from './settings/hostSettings.js'
 
 /**
- * Serves as an entry host until the signal aborts, then makes a planned stop. Resolves with the exit
- * code: 0 where every request was finished, 1 where the limit of the stop ended some or a peer
+ * Runs an entry host until the signal aborts, then performs a planned stop. Resolves with the exit
+ * code: 0 when every request has finished, 1 when the time limit of the stop cut off requests or a peer
  * refused this process.
  *
- * @throws AlmondrelayError of kind `settings-invalid` where a port can't be had.
+ * @throws AlmondrelayError of kind `settings-invalid` when a port can't be opened.
  */
 export async function runDaemon (settings: HostSettings, signal: AbortSignal): Promise<number> {
   const output = new BatchedOutput((chunk) => { process.stdout.write(chunk) })
--- a/packages/almondrelay/src/process/settings/__tests__/loadSettings.test.ts
+++ b/packages/almondrelay/src/process/settings/__tests__/loadSettings.test.ts
@@ -17,7 +17,7 @@
     assert.is((error as AlmondrelayError).kind, 'settings-invalid')
     return (error as Error).message
   }
-  throw new Error('the settings were taken')
+  throw new Error('invalid settings were accepted')
 }
 
 test('the commented example is valid and shows every setting', async () => {
@@ -30,15 +30,15 @@
   }
 })
 
-test('the defaults that the example states are the defaults', () => {
+test('the default values in the commented example match those of the schema', () => {
   const stated = parseSettings('host.jsonc', example)
   const text = JSON.stringify({ host: stated.host, listen: stated.listen, platform: { url: stated.platform.url } })
   const plain = parseSettings('host.jsonc', text)
   assert.equal({ ...plain, peers: stated.peers, metrics: stated.metrics }, stated)
 })
 
-// The operator writes `maxQueue`. A parser that ignores unknown names would start the host
-// with the default, and the operator's limit would silently not hold.
+// A misspelt name such as `maxQueue` must be refused: a parser that ignores unknown names would start the host with the
+// default, and the operator's limit would silently have no effect.
 test('an unknown setting is refused with the nearest known name and its line', () => {
   const message = readMessage(example.replace('"maxQueued"', '"maxQueue"'))
   const line = example.split('\n').findIndex((each) => each.includes('"maxQueued"')) + 1
--- a/packages/almondrelay/src/process/settings/checkDocument.ts
+++ b/packages/almondrelay/src/process/settings/checkDocument.ts
@@ -8,8 +8,8 @@
 const MAX_FOUND_LENGTH = 60
 
 /**
- * What is wrong with the value at `base` of a document, by a schema. A problem names the
- * value's whole path and line in the file.
+ * Validates the value at path `base` of a document against a schema. Each problem names the
+ * value's full path and its line in the file.
  */
 export function checkDocument (document: JsoncDocument, schema: z.ZodType, base: ReadonlyArray<string | number> = []): FileProblem[] {
   const value = findValue(document.value, base)
--- a/packages/almondrelay/src/process/settings/findNearestName.ts
+++ b/packages/almondrelay/src/process/settings/findNearestName.ts
@@ -1,6 +1,6 @@
 const MAX_DISTANCE = 3
 
-/** The known name that differs from `name` by the fewest letters; undefined where none is near. */
+/** Finds the known name with the smallest edit distance to `name`; returns undefined when none is similar enough. */
 export function findNearestName (name: string, known: readonly string[]): string | undefined {
   const ranked = known
     .map((candidate) => ({ candidate, distance: countEdits(name.toLowerCase(), candidate.toLowerCase()) }))
@@ -10,7 +10,7 @@
   return nearest !== undefined && nearest.distance <= limit ? nearest.candidate : undefined
 }
 
-// Levenshtein's distance, row by row.
+// Computes the Levenshtein distance row by row.
 const countEdits = (left: string, right: string): number => {
   let row = Array.from({ length: right.length + 1 }, (_, index) => index)
   for (let i = 1; i <= left.length; i += 1) {
--- a/packages/almondrelay/src/process/settings/hostSettings.ts
+++ b/packages/almondrelay/src/process/settings/hostSettings.ts
@@ -12,7 +12,7 @@
   peer: Address
 })
 
-/** Settings of one entry host; every default stands here. */
+/** Settings of one entry host, with all default values. */
 const HostSettings = z.strictObject({
   host: z.strictObject({ name: ResourceName, region: ResourceName, availabilityZone: ResourceName }),
   listen: z.strictObject({
@@ -21,42 +21,42 @@
     operator: Address
   }),
   platform: z.strictObject({
-    /** Base of the platform's service, by IP number. */
+    /** Base URL of the platform's service, with an IP address as its host. */
     url: z.url({ protocol: /^https?$/ }),
     timeoutMs: Milliseconds.default(1_000)
   }),
-  /** Hosts to ask first; others are learnt from them and from the platform's host list. */
+  /** Hosts to contact first; further hosts are discovered through them and the platform's host list. */
   peers: z.array(PeerSettings).max(1_000).default([]),
   peering: z.strictObject({
     heartbeatMs: Milliseconds.default(250),
-    /** Silence after which a peer gets no new work. */
+    /** Time without a report after which a peer is sent no new requests. */
     suspectAfterMs: Milliseconds.default(1_000)
   }).prefault({}),
   requests: z.strictObject({
-    /** Requests that wait at this host for one service. */
+    /** Maximum number of requests that wait at this host for one service. */
     maxQueued: z.number().int().min(1).max(100_000).default(256),
-    /** Entries of the journal of non-idempotent requests. */
+    /** Maximum number of entries in the journal of non-idempotent requests. */
     maxJournalEntries: z.number().int().min(1).max(5_000_000).default(50_000),
-    /** How long the journal keeps an answer. */
+    /** Time for which the journal keeps an answer. */
     journalRetentionMs: Milliseconds.default(120_000),
     /**
-     * Longest deadline of a request; the same on every host. After a host has ended, its targets' slots
-     * stay unused for so long, as its last work may still run on them.
+     * Maximum deadline of a request; must be equal on all hosts. After a host has ended, its targets' slots
+     * stay unused for this time, since its last requests may still run on them.
      */
     maxDeadlineMs: Milliseconds.default(10_000)
   }).prefault({}),
   lookups: z.strictObject({ ttlMs: Milliseconds.default(2_000) }).prefault({}),
   shutdown: z.strictObject({
-    /** A planned stop ends after this long even with requests in flight; they are named in the log. */
+    /** Time after which a planned stop ends even with requests in flight; the log names these requests. */
     limitMs: Milliseconds.default(30_000)
   }).prefault({}),
   log: z.strictObject({
     level: z.enum(['trace', 'debug', 'info', 'warn', 'error']).default('info'),
-    /** Log every call to the decision modules, so that `almondrelay replay` can run them again. */
+    /** Logs every call to the decision modules, so that `almondrelay replay` can repeat it. */
     replay: z.boolean().default(false)
   }).prefault({}),
   metrics: z.strictObject({
-    /** Address of a StatsD receiver; none where absent. */
+    /** Address of a StatsD receiver; no metrics are sent when absent. */
     statsd: Address.optional(),
     prefix: z.string().regex(/^[a-z0-9_.]*$/).default('almondrelay.')
   }).prefault({})
--- a/packages/almondrelay/src/process/settings/jsoncDocument.ts
+++ b/packages/almondrelay/src/process/settings/jsoncDocument.ts
@@ -2,13 +2,13 @@
 import type { FileProblem } from './fileProblem.js'
 
 const PARSE_OPTIONS = { allowTrailingComma: true, disallowComments: false }
-const SYNTAX_REMEDY = 'write JSON, in which comments and a last comma are allowed'
+const SYNTAX_REMEDY = 'write JSON; comments and trailing commas are allowed'
 
-/** Text of JSON with comments, with the place of every value in it. */
+/** Parsed JSON with comments that records the position of every value. */
 export class JsoncDocument {
-  /** What the text holds; undefined where it can't be parsed. */
+  /** The parsed value; undefined when the text can't be parsed. */
   readonly value: unknown
-  /** Errors of syntax and keys that stand twice in one object. */
+  /** Syntax errors and duplicate keys of objects. */
   readonly problems: FileProblem[]
   private readonly root: Node | undefined
 
@@ -21,7 +21,7 @@
     if (this.root === undefined && errors.length === 0) this.problems.push({ file, line: 1, path: '', found: 'an empty file', remedy: SYNTAX_REMEDY })
   }
 
-  /** Line of the value at a path, or of the nearest object around it where the value is absent. */
+  /** Returns the line of the value at a path or, when the value is absent, of the nearest enclosing object. */
   findLine (path: ReadonlyArray<string | number>): number {
     for (let length = path.length; length > 0; length -= 1) {
       const node = this.root && findNodeAtLocation(this.root, path.slice(0, length))
@@ -35,7 +35,7 @@
     return { file: this.file, line: this.countLines(error.offset), path: '', found: `${found} (${printParseErrorCode(error.error)})`, remedy: SYNTAX_REMEDY }
   }
 
-  // A parser takes the last of two equal keys: the operator sees a setting that has no effect, because another one further down replaces it.
+  // Reports duplicate keys: parsers use the last of two equal keys, so the first setting would silently have no effect.
   private collectDoubleKeys (node: Node, path: string): void {
     const seen = new Set<string>()
     for (const [index, child] of (node.children ?? []).entries()) {
--- a/packages/almondrelay/src/process/settings/listKnownNames.ts
+++ b/packages/almondrelay/src/process/settings/listKnownNames.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod'
 
-/** Names that a schema knows at a path; empty where it takes any name or is no object. */
+/** Lists the property names that a schema defines at a path; empty when the schema accepts any name or is not an object. */
 export function listKnownNames (schema: z.core.$ZodType, path: readonly PropertyKey[]): string[] {
   let current = unwrapSchema(schema)
   for (const part of path) {
--- a/packages/almondrelay/src/process/settings/loadSettings.ts
+++ b/packages/almondrelay/src/process/settings/loadSettings.ts
@@ -5,10 +5,10 @@
 import { parseSettings } from './parseSettings.js'
 
 /**
- * The settings of a host from its file.
+ * Loads the settings of a host from a file.
  *
- * @throws AlmondrelayError of kind `settings-invalid` when the file can't be read or holds a
- * wrong, unknown or missing setting.
+ * @throws AlmondrelayError of kind `settings-invalid` when the file can't be read or a setting in it
+ * is invalid, unknown or missing.
  */
 export async function loadSettings (file: string): Promise<HostSettings> {
   const text = await readFile(file, 'utf8').catch((error: Error) => {
--- a/packages/almondrelay/src/process/settings/parseSettings.ts
+++ b/packages/almondrelay/src/process/settings/parseSettings.ts
@@ -2,7 +2,7 @@
 import { parseSettingsAs } from './parseSettingsAs.js'
 
 /**
- * The settings of a host in a text of JSON with comments.
+ * Parses the settings of a host from JSON with comments.
  *
  * @throws AlmondrelayError of kind `settings-invalid` that lists every problem.
  */
--- a/packages/almondrelay/src/process/settings/parseSettingsAs.ts
+++ b/packages/almondrelay/src/process/settings/parseSettingsAs.ts
@@ -5,10 +5,10 @@
 import { formatFileProblem } from './formatFileProblem.js'
 import { JsoncDocument } from './jsoncDocument.js'
 
-const REMEDY = 'mend these settings and start again; docs/examples/almondrelayd.jsonc shows every one'
+const REMEDY = 'correct these settings and start again; docs/examples/almondrelayd.jsonc shows every one'
 
 /**
- * What a text of JSON with comments holds, by a schema.
+ * Parses JSON with comments and validates it against a schema.
  *
  * @throws AlmondrelayError of kind `settings-invalid` that lists every problem.
  */
