--- a/packages/almondrelay/src/connection/exchange/exchangeHub.ts
+++ b/packages/almondrelay/src/connection/exchange/exchangeHub.ts
@@ -115,8 +115,8 @@
     const progress = this.getProgress(host)
     const { membership, leavingTargets, store } = this.options
     if (store.isReady && store.current.revision > Math.max(progress.sentRevision, progress.revision)) return true
-    const unconfirmedUpdates = membership.news.latest - progress.confirmed
-    return (unconfirmedUpdates > 0 && unconfirmedUpdates <= MAX_UPDATES_PER_MESSAGE) || leavingTargets.news.latest > progress.confirmedTargets
+    const unconfirmedUpdates = membership.changeTracker.latest - progress.confirmed
+    return (unconfirmedUpdates > 0 && unconfirmedUpdates <= MAX_UPDATES_PER_MESSAGE) || leavingTargets.changeTracker.latest > progress.confirmedTargets
   }
 
   makeSender (): Sender {
@@ -127,8 +127,8 @@
   buildMessage (peer: string, now: number): OutgoingMessage {
     const { membership, leavingTargets, store, self } = this.options
     const progress = this.getProgress(peer)
-    const updates = membership.news.listAfter(progress.confirmed, MAX_UPDATES_PER_MESSAGE)
-    const targetUpdates = leavingTargets.news.listAfter(progress.confirmedTargets, MAX_UPDATES_PER_MESSAGE)
+    const updates = membership.changeTracker.listAfter(progress.confirmed, MAX_UPDATES_PER_MESSAGE)
+    const targetUpdates = leavingTargets.changeTracker.listAfter(progress.confirmedTargets, MAX_UPDATES_PER_MESSAGE)
     const backlogHosts = progress.backlog.slice(-Math.max(1, MAX_UPDATES_PER_MESSAGE - updates.keys.length))
     const names = new Set([...updates.keys, ...backlogHosts])
     if (progress.isBroken) names.add(self.host)
@@ -138,7 +138,7 @@
     }
     names.delete(peer)
     const hosts = [...names].map((name) => membership.getSummary(name, now)).filter((summary): summary is Summary => summary !== undefined)
-    const targets = targetUpdates.keys.map((key) => leavingTargets.getWord(key, now)).filter((each) => each !== undefined)
+    const targets = targetUpdates.keys.map((key) => leavingTargets.getReport(key, now)).filter((each) => each !== undefined)
     return {
       message: {
         sender: this.makeSender(),
@@ -163,7 +163,7 @@
     if (message.hosts.length > MAX_RECEIVED_ENTRIES || message.leavingTargets.length > MAX_RECEIVED_ENTRIES) throw makeRefusal(PeerRefusal.malformed, `the message brings more than ${MAX_RECEIVED_ENTRIES} summaries`)
     const summaries = message.hosts.map(decodeSummary)
     const ownSummary = summaries.find((summary) => summary.host === sender.host && summary.incarnation === sender.incarnation)
-    const previousUpdates = { news: membership.news.latest, targets: leavingTargets.news.latest }
+    const previousUpdates = { news: membership.changeTracker.latest, targets: leavingTargets.changeTracker.latest }
     const verdict = membership.observeHeartbeat(sender, ownSummary, now)
     if (verdict !== HeartbeatVerdict.accepted) throw makeRefusal(refusals[verdict], `${sender.host}, incarnation ${sender.incarnation}, is refused`)
     const progress = this.recordContact(sender, now)
@@ -171,8 +171,8 @@
     for (const summary of summaries) if (summary.host !== sender.host) membership.observeSummary(summary, now)
     for (const each of message.leavingTargets) this.observeTarget(each, now)
     // Updates received from the peer need not be sent back to it, unless older updates to it are still unconfirmed.
-    if (progress.confirmed >= previousUpdates.news) progress.confirmed = membership.news.latest
-    if (progress.confirmedTargets >= previousUpdates.targets) progress.confirmedTargets = leavingTargets.news.latest
+    if (progress.confirmed >= previousUpdates.news) progress.confirmed = membership.changeTracker.latest
+    if (progress.confirmedTargets >= previousUpdates.targets) progress.confirmedTargets = leavingTargets.changeTracker.latest
     return sender
   }
 
@@ -192,7 +192,7 @@
   private beginProgress (peer: HeartbeatSender): PeerProgress {
     const hosts = this.options.membership.listHosts()
     const [ownZoneHosts, otherHosts] = [true, false].map((isOwn) => hosts.filter((each) => (each.availabilityZone === peer.availabilityZone) === isOwn).map((each) => each.host))
-    return { ...this.makeProgress(peer.incarnation), confirmed: this.options.membership.news.latest, backlog: [...otherHosts ?? [], ...ownZoneHosts ?? []] }
+    return { ...this.makeProgress(peer.incarnation), confirmed: this.options.membership.changeTracker.latest, backlog: [...otherHosts ?? [], ...ownZoneHosts ?? []] }
   }
 
   private observeTarget (leavingTarget: LeavingTarget, now: number): void {
--- a/packages/almondrelay/src/connection/exchange/handleFetchChanges.ts
+++ b/packages/almondrelay/src/connection/exchange/handleFetchChanges.ts
@@ -1,7 +1,7 @@
 import { create } from '@bufbuild/protobuf'
 import { ChangeSchema, FetchChangesResponseSchema } from 'almondrelay-protocol'
 import type { FetchChangesRequest, FetchChangesResponse } from 'almondrelay-protocol'
-import type { KeptChange } from '../../process/configuration/keptChange.js'
+import type { EncodedChange } from '../../process/configuration/encodedChange.js'
 import { decodeCount } from './decodeCount.js'
 import { decodeSender } from './decodeSender.js'
 import type { ExchangeHub } from './exchangeHub.js'
@@ -27,7 +27,7 @@
   return create(FetchChangesResponseSchema, { snapshot: JSON.stringify(snapshot), snapshotRevision: BigInt(snapshot.revision), latestRevision })
 }
 
-function limitBytes (kept: readonly KeptChange[]): KeptChange[] {
+function limitBytes (kept: readonly EncodedChange[]): EncodedChange[] {
   let bytes = 0
   return kept.filter(({ body }, index) => {
     bytes += body.length
--- a/packages/almondrelay/src/connection/exchange/runExchanges.ts
+++ b/packages/almondrelay/src/connection/exchange/runExchanges.ts
@@ -27,10 +27,10 @@
     leavingTargets.expire(now)
     hub.prunePeers(now)
     // Temporary neighbours come first: where a host is also a planned neighbour, the later entry with the planned interval applies.
-    if (membership.news.latest !== plannedUpdate || now - plannedAt >= REPLAN_INTERVAL_MS) {
+    if (membership.changeTracker.latest !== plannedUpdate || now - plannedAt >= REPLAN_INTERVAL_MS) {
       plan = membership.planNeighbours(now)
       plannedAt = now
-      plannedUpdate = membership.news.latest
+      plannedUpdate = membership.changeTracker.latest
     }
     applyPlan([...hub.listTemporaryNeighbours(now), ...plan], running, hub)
     hub.setPeerCount(running.size)
--- a/packages/almondrelay/src/process/configuration/changeLog.ts
+++ b/packages/almondrelay/src/process/configuration/changeLog.ts
@@ -16,8 +16,8 @@
 import type { WriteOutcome } from './writeOutcome.js'
 
 /** Time after which a write without an answer is reported as `unknown`. */
-const RESOLVE_MS = 5_000
-const RETRY_MS = 200
+const RESOLVE_TIMEOUT_MS = 5_000
+const RETRY_INTERVAL_MS = 200
 /** Writes of unknown outcome that this host keeps in memory. */
 const MAX_UNRESOLVED = 1_000
 
@@ -48,7 +48,7 @@
 
   /** Submits a write. The writes of one host run one after the other, so that they do not race each other. */
   async submit (write: Write, signal: AbortSignal): Promise<WriteOutcome> {
-    const deadline = this.options.clock.getNow() + RESOLVE_MS
+    const deadline = this.options.clock.getNow() + RESOLVE_TIMEOUT_MS
     const begunAt = this.options.store.current.revision
     const result = this.last.then(async () => await this.submitNext(write, begunAt, deadline, signal))
     this.last = result.catch(() => {})
@@ -81,7 +81,7 @@
     for (;;) {
       const known = store.findWrite(writeId)
       if (known !== undefined) return this.resolveRepeat(write, known)
-      const decision = decideWrite(store.current, write, this.findLostTo(write, begunAt), clock.getWallTime(), store.given)
+      const decision = decideWrite(store.current, write, this.findConflictingRevision(write, begunAt), clock.getWallTime(), store.given)
       if ('refusal' in decision) {
         if (await this.tryAdvance(signal)) continue
         return decision.refusal
@@ -109,7 +109,7 @@
   }
 
   /** Finds the latest change to the same resource since the write began. */
-  private findLostTo (write: Write, begunAt: number): number | undefined {
+  private findConflictingRevision (write: Write, begunAt: number): number | undefined {
     const [kind, name] = write.action === 'put' ? [write.resource.kind, write.resource.name] : [write.kind, write.name]
     const changes = this.options.store.listChanges(begunAt, Infinity) ?? []
     return changes.findLast(({ change }) => {
@@ -140,7 +140,7 @@
     while (!signal.aborted && clock.getNow() < deadline) {
       const creation = await this.tryCreate(change, signal)
       if (creation.state !== 'unknown') return creation
-      await clock.sleep(RETRY_MS, signal)
+      await clock.sleep(RETRY_INTERVAL_MS, signal)
     }
     return { state: 'unknown' }
   }
--- a/packages/almondrelay/src/process/configuration/configurationStore.ts
+++ b/packages/almondrelay/src/process/configuration/configurationStore.ts
@@ -3,7 +3,7 @@
 import type { Resource } from '../../version/resources/resource.js'
 import type { ConfigurationSnapshot } from './configurationSnapshot.js'
 import { encodeChange } from './encodeChange.js'
-import type { KeptChange } from './keptChange.js'
+import type { EncodedChange } from './encodedChange.js'
 
 /** Changes kept for peers and watches: at 19,000 changes a day, over an hour of them. */
 const MAX_KEPT_CHANGES = 1_024
@@ -23,7 +23,7 @@
 export class ConfigurationStore {
   private configuration = Configuration.empty
   private ready = false
-  private kept: KeptChange[] = []
+  private kept: EncodedChange[] = []
   private keptBytes = 0
   private readonly writes = new Map<string, number>()
   private readonly listeners = new Set<Listener>()
@@ -83,7 +83,7 @@
   }
 
   /** Lists the changes after a revision, oldest first; undefined where some of them are no longer kept. */
-  listChanges (after: number, max: number): KeptChange[] | undefined {
+  listChanges (after: number, max: number): EncodedChange[] | undefined {
     const oldest = this.configuration.revision - this.kept.length
     if (after < oldest) return undefined
     return this.kept.slice(after - oldest, after - oldest + max)
@@ -116,7 +116,7 @@
     })
   }
 
-  private keepChange (kept: KeptChange): void {
+  private keepChange (kept: EncodedChange): void {
     this.kept.push(kept)
     this.keptBytes += kept.body.length
     while (this.kept.length > MAX_KEPT_CHANGES || (this.keptBytes > MAX_KEPT_BYTES && this.kept.length > 1)) {
--- a/packages/almondrelay/src/process/configuration/decideWrite.ts
+++ b/packages/almondrelay/src/process/configuration/decideWrite.ts
@@ -17,12 +17,12 @@
  * @param given resources that are declared elsewhere: they may be referenced, and their kinds can't be written
  * @param conflictingRevision the revision of a change to the same resource that was adopted since the write began
  */
-export function decideWrite (configuration: Configuration, write: Write, lostTo: number | undefined, writtenAt: number, given: readonly Resource[] = []): Decision {
+export function decideWrite (configuration: Configuration, write: Write, conflictingRevision: number | undefined, writtenAt: number, given: readonly Resource[] = []): Decision {
   const { writeId } = write
   const [kind, name] = write.action === 'put' ? [write.resource.kind, write.resource.name] : [write.kind, write.name]
   if (given.some((resource) => resource.kind === kind)) return { refusal: { outcome: 'rejected', writeId, problems: [makeGivenProblem(kind)] } }
   const held = configuration.get(kind, name)
-  if (lostTo !== undefined) return { refusal: { outcome: 'conflict', writeId, revision: lostTo } }
+  if (conflictingRevision !== undefined) return { refusal: { outcome: 'conflict', writeId, revision: conflictingRevision } }
   if (isUnexpected(held, write.expectedRevision)) return { refusal: { outcome: 'conflict', writeId, revision: held?.revision ?? configuration.revision } }
   if (write.action === 'delete' && held === undefined) return { refusal: { outcome: 'missing', writeId } }
   const change = makeChange(write, configuration.revision + 1, writtenAt)
--- a/packages/almondrelay/src/process/configuration/keptChange.ts
+++ b/packages/almondrelay/src/process/configuration/encodedChange.ts
@@ -1,7 +1,7 @@
 import type { Change } from '../../version/resources/change.js'
 
 /** A change with its JSON form, which the platform stores and peers pass on. */
-export interface KeptChange {
+export interface EncodedChange {
   change: Change
   body: string
 }
--- a/packages/almondrelay/src/process/configuration/followPlatformChanges.ts
+++ b/packages/almondrelay/src/process/configuration/followPlatformChanges.ts
@@ -9,13 +9,13 @@
 import { repairFromPlatform } from './repairFromPlatform.js'
 
 /** Interval at which a host that isn't a watcher checks whether it has become one. */
-const IDLE_MS = 250
+const WATCHER_CHECK_INTERVAL_MS = 250
 /**
  * Timeout of a watch, and so the longest time for which a watch that stopped reporting goes undetected: the log is
  * listed after each watch without events. With it, 160 watchers make 64 calls a second, 3% of the two thousand
  * reads a second that the platform serves.
  */
-const WATCH_MS = 5_000
+const WATCH_TIMEOUT_MS = 5_000
 
 interface FollowOptions {
   platform: Platform
@@ -33,7 +33,7 @@
   let failures = 0
   while (!signal.aborted) {
     if (!isWatcher()) {
-      await clock.sleep(IDLE_MS, signal)
+      await clock.sleep(WATCHER_CHECK_INTERVAL_MS, signal)
       continue
     }
     try {
@@ -54,7 +54,7 @@
   await repairFromPlatform(platform, store, signal)
   while (!signal.aborted && isWatcher()) {
     markAnswered()
-    const result = await platform.watch(changeKeys.prefix, sequence, WATCH_MS, signal)
+    const result = await platform.watch(changeKeys.prefix, sequence, WATCH_TIMEOUT_MS, signal)
     sequence = result.sequence
     const adopted = result.events.filter((event) => tryAdopt(store, event.key, event.value)).length
     if (adopted === 0 || adopted < result.events.length) await repairFromPlatform(platform, store, signal)
--- a/packages/almondrelay/src/process/configuration/loadFirstConfiguration.ts
+++ b/packages/almondrelay/src/process/configuration/loadFirstConfiguration.ts
@@ -5,7 +5,7 @@
 import type { ConfigurationStore } from './configurationStore.js'
 
 /** Timeout for the slower sources once one has answered. */
-const SETTLE_MS = 2_000
+const SLOW_SOURCES_TIMEOUT_MS = 2_000
 
 /** Updates the store to the latest revision of a source; false where the source has no configuration itself. Rejects if it does not answer. */
 type Source = (signal: AbortSignal) => Promise<boolean>
@@ -52,7 +52,7 @@
       if (!round.signal.aborted) log.debug({ err: error }, 'a source of the configuration did not answer')
     }
   })
-  await Promise.race([Promise.all(asked), clock.sleep(SETTLE_MS, round.signal)])
+  await Promise.race([Promise.all(asked), clock.sleep(SLOW_SOURCES_TIMEOUT_MS, round.signal)])
   cancel()
   signal.removeEventListener('abort', cancel)
   return answered && !signal.aborted
--- a/packages/almondrelay/src/process/configuration/runSnapshotWriter.ts
+++ b/packages/almondrelay/src/process/configuration/runSnapshotWriter.ts
@@ -6,9 +6,9 @@
 import { saveSnapshot } from './saveSnapshot.js'
 
 /** Changes after which a new snapshot is due: about 75 snapshots a day at 19,000 changes. */
-const CHANGES_A_SNAPSHOT = 256
+const CHANGES_PER_SNAPSHOT = 256
 /** A snapshot that is due and wasn't written is attempted again by the host that makes the 32nd change after that. */
-const CHANGES_A_TRY = 32
+const CHANGES_PER_ATTEMPT = 32
 
 interface SnapshotWriterOptions {
   platform: KeyValueStore
@@ -27,7 +27,7 @@
   const saveIfDue = async (): Promise<void> => {
     try {
       const newest = await loadSnapshotRevision(platform, signal)
-      if (store.current.revision - newest < CHANGES_A_SNAPSHOT) return
+      if (store.current.revision - newest < CHANGES_PER_SNAPSHOT) return
       const revision = await saveSnapshot(platform, store.buildSnapshot(), signal)
       log.info({ revision }, 'snapshot written')
     } catch (error) {
@@ -35,7 +35,7 @@
     }
   }
   changeLog.subscribe((revision) => {
-    if (revision % CHANGES_A_TRY === 0) writing = writing.then(saveIfDue)
+    if (revision % CHANGES_PER_ATTEMPT === 0) writing = writing.then(saveIfDue)
   }, signal)
   if (!signal.aborted) await new Promise<void>((resolve) => { signal.addEventListener('abort', () => { resolve() }, { once: true }) })
   await writing
--- a/packages/almondrelay/src/process/lookup/lookupAnswerer.ts
+++ b/packages/almondrelay/src/process/lookup/lookupAnswerer.ts
@@ -12,7 +12,7 @@
 import type { Clock } from '../platform/clock.js'
 import type { LookupResult } from './lookupResult.js'
 
-interface LookupParts {
+interface LookupDependencies {
   identity: HostIdentity
   clock: Clock
   random: Random
@@ -25,9 +25,9 @@
 /** Hosts in one answer; each adds 150 bytes, and a caller tries no more than these. */
 const MAX_HOSTS = 6
 /** Age at which weights are computed again, in milliseconds; look-ups until then draw from the same weights. */
-const WEIGHTS_MS = 100
+const MAX_WEIGHTS_AGE_MS = 100
 /** `computeLookupAnswer` spreads TTLs up to this factor of the mean. */
-const LONGEST_TTL = 1.25
+const MAX_TTL_FACTOR = 1.25
 
 /**
  * Answers callers' look-ups with the entry hosts of the caller's region, in a random order drawn by weight, or
@@ -39,11 +39,11 @@
   private blocks = ClientBlocks.empty
   private indexed: Configuration | undefined
 
-  constructor (private readonly parts: LookupParts) {}
+  constructor (private readonly parts: LookupDependencies) {}
 
   /** Longest time for which a caller may cache an answer, in milliseconds. */
   get maxTtlMs (): number {
-    return this.parts.ttlMs * LONGEST_TTL
+    return this.parts.ttlMs * MAX_TTL_FACTOR
   }
 
   /** Answers a look-up. `from` is the client's IP address, where the caller asks on behalf of a client. */
@@ -75,7 +75,7 @@
     const now = clock.getNow()
     const key = `${service}/${region}`
     const previous = this.weights.get(key)
-    if (previous !== undefined && now - previous.computedAt < WEIGHTS_MS && this.isEveryHostUsable(previous)) return previous
+    if (previous !== undefined && now - previous.computedAt < MAX_WEIGHTS_AGE_MS && this.isEveryHostUsable(previous)) return previous
     const input = { hosts: this.listViews(service, region), ttlMs }
     const weights = modules.computeLookupAnswer(input, previous, now)
     this.weights.set(key, weights)
@@ -97,7 +97,7 @@
 
   private sampleTtlMs (): number {
     const { random, ttlMs } = this.parts
-    return Math.round(ttlMs * (LONGEST_TTL - 2 * (LONGEST_TTL - 1) * random()))
+    return Math.round(ttlMs * (MAX_TTL_FACTOR - 2 * (MAX_TTL_FACTOR - 1) * random()))
   }
 }
 
--- a/packages/almondrelay/src/process/membership/newsBoard.ts
+++ b/packages/almondrelay/src/process/membership/changeTracker.ts
@@ -1,11 +1,11 @@
-interface News {
+interface ChangedKeys {
   keys: string[]
   /** Position to pass as `after` once the reader has received these keys. */
   upTo: number
 }
 
 /** Changed keys in order of change; each key appears once, at its latest change. */
-export class NewsBoard {
+export class ChangeTracker {
   private counter = 0
   /** Insertion order is the order of change, as a key is deleted before it is set again. */
   private readonly changed = new Map<string, number>()
@@ -24,7 +24,7 @@
     this.changed.delete(key)
   }
 
-  listAfter (after: number, max: number): News {
+  listAfter (after: number, max: number): ChangedKeys {
     if (after >= this.counter) return { keys: [], upTo: this.counter }
     const keys: string[] = []
     let upTo = after
--- a/packages/almondrelay/src/process/membership/chooseRing.ts
+++ b/packages/almondrelay/src/process/membership/chooseRing.ts
@@ -1,5 +1,5 @@
 /** Rings up to this size are fully meshed. */
-const ALL_TO_ALL = 5
+const MAX_FULL_MESH_SIZE = 5
 
 interface RingDistances {
   /** Distances to the next member on either side. */
@@ -16,7 +16,7 @@
 export function chooseRing (size: number): RingDistances {
   if (size <= 1) return { near: [], far: [] }
   if (size === 2) return { near: [1], far: [] }
-  if (size <= ALL_TO_ALL) return { near: [1, -1], far: Array.from({ length: size - 3 }, (_, index) => index + 2) }
+  if (size <= MAX_FULL_MESH_SIZE) return { near: [1, -1], far: Array.from({ length: size - 3 }, (_, index) => index + 2) }
   const chord = Math.max(2, Math.round(Math.sqrt(size)))
   return { near: [1, -1], far: [chord, -chord] }
 }
--- a/packages/almondrelay/src/process/membership/leavingSource.ts
+++ b/packages/almondrelay/src/process/membership/leavingSource.ts
@@ -7,15 +7,15 @@
  * Only a change in a source's own reports is passed on, so the report of the other source applies until then.
  */
 export class LeavingSource {
-  private readonly said = new Set<string>()
+  private readonly reportedLeaving = new Set<string>()
 
   constructor (private readonly targets: LeavingTargets) {}
 
   observe (service: string, target: string, isLeaving: boolean, now: number): void {
     const key = `${service}/${target}`
-    if (this.said.has(key) === isLeaving) return
-    if (isLeaving) this.said.add(key)
-    else this.said.delete(key)
+    if (this.reportedLeaving.has(key) === isLeaving) return
+    if (isLeaving) this.reportedLeaving.add(key)
+    else this.reportedLeaving.delete(key)
     this.targets.observe({ service, target, isLeaving, ageMs: 0 }, now)
   }
 }
--- a/packages/almondrelay/src/process/membership/listTries.ts
+++ b/packages/almondrelay/src/process/membership/listTries.ts
@@ -4,5 +4,5 @@
 export function listTries (entries: Iterable<MemberEntry>): MemberEntry[] {
   return [...entries]
     .filter((entry) => entry.heardAt === -Infinity || (entry.isGone && entry.listedAt > -Infinity))
-    .sort((a, b) => a.triedAt - b.triedAt || (a.host < b.host ? -1 : 1))
+    .sort((a, b) => a.lastFailedAt - b.lastFailedAt || (a.host < b.host ? -1 : 1))
 }
--- a/packages/almondrelay/src/process/membership/makeMemberEntry.ts
+++ b/packages/almondrelay/src/process/membership/makeMemberEntry.ts
@@ -20,7 +20,7 @@
     isSilent: false,
     failures: 0,
     failedSince: Infinity,
-    triedAt: -Infinity,
+    lastFailedAt: -Infinity,
     listedAt: -Infinity,
     isListedLeaving: listed.isLeaving
   }
--- a/packages/almondrelay/src/process/membership/memberEntry.ts
+++ b/packages/almondrelay/src/process/membership/memberEntry.ts
@@ -12,7 +12,7 @@
   failures: number
   failedSince: number
   /** Time of this host's last failed attempt to reach it. */
-  triedAt: number
+  lastFailedAt: number
   /** Time at which the host list last named it; Infinity where the settings name it, -Infinity where neither does. */
   listedAt: number
   /** The host list says that it is leaving. */
--- a/packages/almondrelay/src/process/membership/membership.ts
+++ b/packages/almondrelay/src/process/membership/membership.ts
@@ -15,7 +15,7 @@
 import type { MembershipEvent } from './membershipEvent.js'
 import type { MembershipOptions } from './membershipOptions.js'
 import type { Neighbour } from './neighbour.js'
-import { NewsBoard } from './newsBoard.js'
+import { ChangeTracker } from './changeTracker.js'
 import { planNeighbours } from './planNeighbours.js'
 import { SilenceRule } from './silenceRule.js'
 import type { ServiceLoad } from './serviceLoad.js'
@@ -25,13 +25,13 @@
  * Age at which the state of a host is dropped. Dropping it frees nothing that the host holds; it bounds memory, and old
  * reports are refused so that they don't restore a host whose exit is no longer recorded.
  */
-const FORGET_AFTER_MS = 3_600_000
+const MAX_REPORT_AGE_MS = 3_600_000
 
 /** Interval at which silence is evaluated again, so that looking up one member for each request costs little. */
-const JUDGE_EVERY_MS = 50
+const EVALUATION_INTERVAL_MS = 50
 
 /** Two reports of a host whose times differ by less than this stem from the same heartbeat, received over two paths. */
-const SAME_WORD_MS = 200
+const SAME_REPORT_TOLERANCE_MS = 200
 
 /**
  * The known entry hosts and the last known state of each.
@@ -45,8 +45,8 @@
   private readonly entries = new Map<string, MemberEntry>()
   private readonly listeners = new Set<(event: MembershipEvent) => void>()
   private readonly silence: SilenceRule
-  private judged: { at: number, news: number, silent: ReadonlySet<string> } | undefined
-  readonly news = new NewsBoard()
+  private lastEvaluation: { at: number, latestChange: number, silent: ReadonlySet<string> } | undefined
+  readonly changeTracker = new ChangeTracker()
 
   constructor (private readonly options: MembershipOptions) {
     this.silence = new SilenceRule(options.suspectAfterMs, options.heartbeatMs)
@@ -77,15 +77,15 @@
   }
 
   /** Records a heartbeat from a host, unless its identity check fails. `ownSummary` is the summary that the host gives of itself. */
-  observeHeartbeat (sender: HeartbeatSender, told: Summary | undefined, now: number): HeartbeatVerdict {
+  observeHeartbeat (sender: HeartbeatSender, ownSummary: Summary | undefined, now: number): HeartbeatVerdict {
     const entry = this.entries.get(sender.host)
-    const verdict = checkSender(sender, told, entry, this.options.self.host)
+    const verdict = checkSender(sender, ownSummary, entry, this.options.self.host)
     if (verdict !== HeartbeatVerdict.accepted) return verdict
-    const addresses = { callerAddress: told?.callerAddress ?? '', peerAddress: told?.peerAddress ?? '' }
+    const addresses = { callerAddress: ownSummary?.callerAddress ?? '', peerAddress: ownSummary?.peerAddress ?? '' }
     const known = entry !== undefined && entry.incarnation === sender.incarnation ? entry : this.adoptIncarnation({ ...sender, ...addresses })
-    if (told !== undefined) this.mergeSummary(known, told)
+    if (ownSummary !== undefined) this.mergeSummary(known, ownSummary)
     known.revision = Math.max(known.revision, sender.revision)
-    this.touchDirect(known, now)
+    this.recordDirectReport(known, now)
     return HeartbeatVerdict.accepted
   }
 
@@ -93,7 +93,7 @@
   observeSilence (host: string, now: number): void {
     const entry = this.entries.get(host)
     if (entry === undefined) return
-    entry.triedAt = now
+    entry.lastFailedAt = now
     entry.failures += 1
     entry.failedSince = Math.min(entry.failedSince, now)
   }
@@ -108,20 +108,20 @@
   observeRefused (host: string, incarnation: number, peerAddress: string, now: number): void {
     const entry = this.entries.get(host)
     if (entry === undefined) return
-    entry.triedAt = now
+    entry.lastFailedAt = now
     if (isRefusalEvidence(entry, { incarnation, peerAddress, ownZone: this.options.self.availabilityZone })) this.markGone(entry, GoneEvidence.refused)
   }
 
   /** Records a summary of a host that a peer sent. */
   observeSummary (summary: Summary, now: number): void {
-    if (summary.host === this.options.self.host || summary.incarnation === 0 || summary.ageMs > FORGET_AFTER_MS) return
+    if (summary.host === this.options.self.host || summary.incarnation === 0 || summary.ageMs > MAX_REPORT_AGE_MS) return
     const entry = this.entries.get(summary.host)
     if (entry !== undefined && entry.incarnation > summary.incarnation) return
     const known = entry !== undefined && entry.incarnation === summary.incarnation ? entry : this.adoptIncarnation(summary)
     this.mergeSummary(known, summary)
     const heardAt = now - summary.ageMs
-    if (heardAt < known.heardAt - SAME_WORD_MS) return
-    const isNewer = heardAt > known.heardAt + SAME_WORD_MS
+    if (heardAt < known.heardAt - SAME_REPORT_TOLERANCE_MS) return
+    const isNewer = heardAt > known.heardAt + SAME_REPORT_TOLERANCE_MS
     if (isNewer) Object.assign(known, { heardAt, loads: summary.loads })
     const isSilent = summary.isSilent || (known.isSilent && !isNewer)
     if (known.isSilent === isSilent) return
@@ -130,11 +130,11 @@
   }
 
   /** Updates the state that this host reports of itself. */
-  updateSelf (word: { revision?: number, loads?: ServiceLoad[], isLeaving?: boolean, isGone?: boolean }): void {
+  updateSelf (update: { revision?: number, loads?: ServiceLoad[], isLeaving?: boolean, isGone?: boolean }): void {
     const self = this.require(this.options.self.host)
-    const isNews = (word.isLeaving ?? self.isLeaving) !== self.isLeaving || (word.isGone ?? self.isGone) !== self.isGone
-    Object.assign(self, word)
-    if (isNews) this.announce(self)
+    const isChange = (update.isLeaving ?? self.isLeaving) !== self.isLeaving || (update.isGone ?? self.isGone) !== self.isGone
+    Object.assign(self, update)
+    if (isChange) this.announce(self)
   }
 
   /** Lists every known host, this one included. */
@@ -161,8 +161,8 @@
   planNeighbours (now: number): Neighbour[] {
     const members = this.listMembers(now)
     const self = members.find((member) => member.host === this.options.self.host) as Member
-    const tries = listTries(this.entries.values()).map((entry) => this.describeMember(entry, new Set(), now))
-    const plan = planNeighbours({ self, members, heartbeatMs: this.options.heartbeatMs, tries, getTriedAt: (host) => this.entries.get(host)?.triedAt ?? -Infinity, chooseWatchers: (zone) => chooseWatchers(members, zone) })
+    const probeCandidates = listTries(this.entries.values()).map((entry) => this.describeMember(entry, new Set(), now))
+    const plan = planNeighbours({ self, members, heartbeatMs: this.options.heartbeatMs, probeCandidates: probeCandidates, getLastFailedAt: (host) => this.entries.get(host)?.lastFailedAt ?? -Infinity, chooseWatchers: (zone) => chooseWatchers(members, zone) })
     this.silence.setIntervals(plan, now)
     return plan
   }
@@ -172,7 +172,7 @@
     const silent = this.listSilent(now)
     for (const entry of [...this.entries.values()]) {
       if (entry.host === this.options.self.host) continue
-      if (now - Math.max(entry.heardAt, entry.listedAt) > FORGET_AFTER_MS) {
+      if (now - Math.max(entry.heardAt, entry.listedAt) > MAX_REPORT_AGE_MS) {
         this.remove(entry)
         continue
       }
@@ -205,24 +205,24 @@
     return next
   }
 
-  private mergeSummary (entry: MemberEntry, told: Summary): void {
-    if (entry.peerAddress === '' && told.peerAddress !== '') {
-      Object.assign(entry, { peerAddress: told.peerAddress, callerAddress: told.callerAddress })
+  private mergeSummary (entry: MemberEntry, received: Summary): void {
+    if (entry.peerAddress === '' && received.peerAddress !== '') {
+      Object.assign(entry, { peerAddress: received.peerAddress, callerAddress: received.callerAddress })
       this.announce(entry)
     }
-    entry.revision = Math.max(entry.revision, told.revision)
-    if (told.isLeaving && !entry.isLeaving) {
+    entry.revision = Math.max(entry.revision, received.revision)
+    if (received.isLeaving && !entry.isLeaving) {
       entry.isLeaving = true
       this.announce(entry)
     }
-    if (told.ageMs === 0) entry.loads = told.loads
-    if (told.isGone) this.markGone(entry, told.ageMs === 0 ? GoneEvidence.announced : GoneEvidence.told)
+    if (received.ageMs === 0) entry.loads = received.loads
+    if (received.isGone) this.markGone(entry, received.ageMs === 0 ? GoneEvidence.announced : GoneEvidence.told)
   }
 
-  private touchDirect (entry: MemberEntry, now: number): void {
-    const isNews = entry.directAt === -Infinity || entry.isSilent
+  private recordDirectReport (entry: MemberEntry, now: number): void {
+    const isChange = entry.directAt === -Infinity || entry.isSilent
     Object.assign(entry, { heardAt: now, directAt: now, isSilent: false })
-    if (isNews) this.announce(entry)
+    if (isChange) this.announce(entry)
   }
 
   private markGone (entry: MemberEntry, evidence: GoneEvidence): void {
@@ -243,19 +243,19 @@
 
   private remove (entry: MemberEntry): void {
     this.entries.delete(entry.host)
-    this.news.remove(entry.host)
+    this.changeTracker.remove(entry.host)
   }
 
   private listSilent (now: number): ReadonlySet<string> {
-    if (this.judged === undefined || now - this.judged.at >= JUDGE_EVERY_MS || this.judged.news !== this.news.latest) {
+    if (this.lastEvaluation === undefined || now - this.lastEvaluation.at >= EVALUATION_INTERVAL_MS || this.lastEvaluation.latestChange !== this.changeTracker.latest) {
       const silent = this.silence.listSilent(this.entries.values(), this.options.self, now)
-      this.judged = { at: now, news: this.news.latest, silent }
+      this.lastEvaluation = { at: now, latestChange: this.changeTracker.latest, silent }
     }
-    return this.judged.silent
+    return this.lastEvaluation.silent
   }
 
   private announce (entry: MemberEntry): void {
-    this.news.mark(entry.host)
+    this.changeTracker.mark(entry.host)
     this.emit({ kind: 'news' })
   }
 
--- a/packages/almondrelay/src/process/membership/planNeighbours.ts
+++ b/packages/almondrelay/src/process/membership/planNeighbours.ts
@@ -13,21 +13,21 @@
 const REGION_INTERVAL_MS = 1_000
 const FAR_INTERVAL_MS = 2_000
 /** Interval for each host of the zone, so that all hosts that aren't neighbours of a watcher send the two watchers three heartbeats a second in total. */
-const WATCHER_INTERVAL_A_HOST_MS = 340
+const WATCHER_INTERVAL_PER_HOST_MS = 340
 /** Suspected hosts that still get heartbeats besides the live neighbours. */
 const MAX_SUSPECTS = 4
 /** Hosts without any report so far, or gone, that are probed at a time. */
-const MAX_TRIES = 4
+const MAX_PROBES = 4
 
 interface PlanInput {
   self: Member
   members: readonly Member[]
   heartbeatMs: number
   /** Hosts to probe, the one with the oldest failed attempt first. */
-  tries: readonly Member[]
+  probeCandidates: readonly Member[]
   chooseWatchers: (availabilityZone: string) => string[]
   /** Time of this host's last failed attempt to reach another. */
-  getTriedAt: (host: string) => number
+  getLastFailedAt: (host: string) => number
 }
 
 /**
@@ -42,17 +42,17 @@
     if (known === undefined || known.intervalMs > intervalMs) planned.set(member.host, { host: member.host, peerAddress: member.peerAddress, intervalMs })
   }
   const zone = input.members.filter((member) => member.availabilityZone === input.self.availabilityZone)
-  const { near, far } = chooseRing(zone.filter((member) => isHeard(member) || member.host === input.self.host).length)
+  const { near, far } = chooseRing(zone.filter((member) => hasReported(member) || member.host === input.self.host).length)
   for (const member of chooseZoneNeighbours(input.self, zone, near)) add(member, input.heartbeatMs)
   for (const member of chooseZoneNeighbours(input.self, zone, far)) add(member, Math.max(input.heartbeatMs, CHORD_INTERVAL_MS))
-  for (const member of input.tries.slice(0, MAX_TRIES)) add(member, REGION_INTERVAL_MS)
+  for (const member of input.probeCandidates.slice(0, MAX_PROBES)) add(member, REGION_INTERVAL_MS)
 
   const watchers = input.chooseWatchers(input.self.availabilityZone)
   const index = watchers.indexOf(input.self.host)
   if (index < 0) {
     const rank = zone.filter((member) => member.host < input.self.host).length
     const watcher = watchers[rank % Math.max(1, watchers.length)]
-    add(zone.find((member) => member.host === watcher), Math.max(FAR_INTERVAL_MS, zone.length * WATCHER_INTERVAL_A_HOST_MS))
+    add(zone.find((member) => member.host === watcher), Math.max(FAR_INTERVAL_MS, zone.length * WATCHER_INTERVAL_PER_HOST_MS))
     return [...planned.values()]
   }
   const findWatcher = (availabilityZone: string): Member | undefined => {
@@ -67,7 +67,7 @@
 
 /** Chooses the first live host in each direction of the ring, and the suspected ones before it. */
 function chooseZoneNeighbours (self: Member, zone: readonly Member[], offsets: readonly number[]): Member[] {
-  const ring = zone.filter((member) => isHeard(member) || member.host === self.host).sort((a, b) => (a.host < b.host ? -1 : 1))
+  const ring = zone.filter((member) => hasReported(member) || member.host === self.host).sort((a, b) => (a.host < b.host ? -1 : 1))
   const own = ring.findIndex((member) => member.host === self.host)
   const getAt = (index: number): Member | undefined => ring[((index % ring.length) + ring.length) % ring.length]
   const chosen = new Set<Member>()
@@ -94,7 +94,7 @@
 function chooseSuspect (input: PlanInput, availabilityZone: string): Member | undefined {
   return input.members
     .filter((member) => member.availabilityZone === availabilityZone && member.state === MemberState.suspected)
-    .sort((a, b) => input.getTriedAt(a.host) - input.getTriedAt(b.host) || (a.host < b.host ? -1 : 1))[0]
+    .sort((a, b) => input.getLastFailedAt(a.host) - input.getLastFailedAt(b.host) || (a.host < b.host ? -1 : 1))[0]
 }
 
 function chooseRegionZones (input: PlanInput): string[] {
@@ -122,4 +122,4 @@
   return [...new Set(chosen)].filter((name): name is string => name !== undefined && name !== self)
 }
 
-const isHeard = (member: Member): boolean => member.state !== MemberState.unheard && member.state !== MemberState.gone
+const hasReported = (member: Member): boolean => member.state !== MemberState.unheard && member.state !== MemberState.gone
--- a/packages/almondrelay/src/process/membership/silenceRule.ts
+++ b/packages/almondrelay/src/process/membership/silenceRule.ts
@@ -4,15 +4,15 @@
 /** Heartbeats that a peer may miss before it is suspected. */
 const MISSED_HEARTBEATS = 3
 /** Where the last report through peers is newer than the last direct one by more than this, the peers receive the host's reports and this host doesn't. */
-const OTHERS_HEAR_MS = 3_000
+const PEER_REPORT_LEAD_MS = 3_000
 /** Reports of such a host arrive through peers with periodic refreshes; only after this time without any do the peers receive none either. */
-const OTHERS_SILENT_MS = 10_000
+const PEER_REPORT_TIMEOUT_MS = 10_000
 /** Consecutive failed attempts before a host whose own reports still arrive counts as unreachable from this host. */
-const FEWEST_FAILURES = 2
+const MIN_FAILURES = 2
 /** A zone is not silent if one of its hosts reported more than this after the last report of the silent ones. */
-const ZONE_MARGIN_MS = 2_000
+const ZONE_REPORT_MARGIN_MS = 2_000
 /** Silent hosts of a zone that suffice to suspect its other hosts too, with which no host of this zone exchanges heartbeats. */
-const ZONE_WITNESSES = 2
+const MIN_SILENT_HOSTS = 2
 
 /**
  * Decides which hosts are suspected for silence. A neighbour is suspected after three missed heartbeats,
@@ -37,23 +37,23 @@
    */
   isWitness (entry: MemberEntry, now: number): boolean {
     if (!this.watched.has(entry.host)) return false
-    const doOthersHear = entry.heardAt - entry.directAt > OTHERS_HEAR_MS
-    return now - entry.heardAt > (doOthersHear ? OTHERS_SILENT_MS : this.suspectAfterMs)
+    const doPeersReceiveReports = entry.heardAt - entry.directAt > PEER_REPORT_LEAD_MS
+    return now - entry.heardAt > (doPeersReceiveReports ? PEER_REPORT_TIMEOUT_MS : this.suspectAfterMs)
   }
 
   listSilent (entries: Iterable<MemberEntry>, self: { host: string, availabilityZone: string }, now: number): ReadonlySet<string> {
-    const heard: MemberEntry[] = []
+    const reported: MemberEntry[] = []
     const silent = new Set<string>()
     const zones = new Set<string>()
     for (const entry of entries) {
       if (entry.isGone || entry.heardAt === -Infinity || entry.host === self.host) continue
-      heard.push(entry)
+      reported.push(entry)
       if (!this.isSilent(entry, now)) continue
       silent.add(entry.host)
       if (entry.availabilityZone !== self.availabilityZone) zones.add(entry.availabilityZone)
     }
     for (const name of zones) {
-      const zone = heard.filter((entry) => entry.availabilityZone === name)
+      const zone = reported.filter((entry) => entry.availabilityZone === name)
       if (isZoneSilent(zone, silent)) for (const entry of zone) silent.add(entry.host)
     }
     return silent
@@ -62,15 +62,15 @@
   private isSilent (entry: MemberEntry, now: number): boolean {
     const watched = this.watched.get(entry.host)
     if (watched === undefined || entry.isSilent) return entry.isSilent
-    if (entry.failures >= FEWEST_FAILURES && now - Math.max(entry.failedSince, watched.since) > this.suspectAfterMs) return true
+    if (entry.failures >= MIN_FAILURES && now - Math.max(entry.failedSince, watched.since) > this.suspectAfterMs) return true
     const slowest = watched.intervalMs > this.heartbeatMs ? watched.intervalMs * MISSED_HEARTBEATS : 0
     return now - Math.max(entry.directAt, watched.since) > Math.max(this.suspectAfterMs, slowest)
   }
 }
 
 function isZoneSilent (zone: readonly MemberEntry[], silent: ReadonlySet<string>): boolean {
-  const witnesses = zone.filter((entry) => silent.has(entry.host))
-  if (witnesses.length === 0 || witnesses.length < Math.min(ZONE_WITNESSES, zone.length)) return false
-  const lastHeard = Math.max(...witnesses.map((entry) => entry.heardAt))
-  return zone.every((entry) => entry.heardAt <= lastHeard + ZONE_MARGIN_MS)
+  const silentHosts = zone.filter((entry) => silent.has(entry.host))
+  if (silentHosts.length === 0 || silentHosts.length < Math.min(MIN_SILENT_HOSTS, zone.length)) return false
+  const lastReportAt = Math.max(...silentHosts.map((entry) => entry.heardAt))
+  return zone.every((entry) => entry.heardAt <= lastReportAt + ZONE_REPORT_MARGIN_MS)
 }
