--- a/packages/almondrelay/src/process/account/accountWriter.ts
+++ b/packages/almondrelay/src/process/account/accountWriter.ts
@@ -14,18 +14,18 @@
 }
 
 const MINUTE_MS = 60_000
-const POLL_MS = 1_000
-const FIRST_BACKOFF_MS = 1_000
+const POLL_INTERVAL_MS = 1_000
+const INITIAL_BACKOFF_MS = 1_000
 const MAX_BACKOFF_MS = 30_000
 /** Hosts spread their writes over this part of a minute: 4,800 hosts then make 160 writes per second for 30 s instead of all at once. */
 const WRITE_SPREAD_MS = 30_000
 /** Time limit for writing the last pages during a planned stop. */
-const LAST_WRITE_LIMIT_MS = 3_000
+const FINAL_WRITE_TIMEOUT_MS = 3_000
 
 /** Writes the ledger's pages to the platform sequentially, oldest first. */
 export class AccountWriter {
   private readonly delayMs: number
-  private backoffMs = FIRST_BACKOFF_MS
+  private backoffMs = INITIAL_BACKOFF_MS
 
   constructor (private readonly ledger: AccountLedger, private readonly platform: KeyValueStore, private readonly options: WriterOptions) {
     this.delayMs = Math.floor(options.random() * WRITE_SPREAD_MS)
@@ -38,7 +38,7 @@
       this.ledger.closeMinutes(wallNow)
       const due = this.ledger.listPages().filter((page) => (page.minute + 1) * MINUTE_MS + this.delayMs <= wallNow)
       const written = await this.writePages(due, signal)
-      await this.options.sleep(written ? POLL_MS : this.widenBackoff(), signal)
+      await this.options.sleep(written ? POLL_INTERVAL_MS : this.widenBackoff(), signal)
     }
   }
 
@@ -48,7 +48,7 @@
    *
    * @param limitMs Time limit in milliseconds.
    */
-  async finish (limitMs = LAST_WRITE_LIMIT_MS): Promise<number> {
+  async finish (limitMs = FINAL_WRITE_TIMEOUT_MS): Promise<number> {
     this.ledger.closeLast(this.options.wallNow())
     await this.writePages([...this.ledger.listPages()], AbortSignal.timeout(limitMs))
     return this.ledger.listPages().length
@@ -63,7 +63,7 @@
         return false
       }
       this.ledger.removePage(page.minute)
-      this.backoffMs = FIRST_BACKOFF_MS
+      this.backoffMs = INITIAL_BACKOFF_MS
     }
     return true
   }
--- a/packages/almondrelay/src/process/daemon/batchedOutput.ts
+++ b/packages/almondrelay/src/process/daemon/batchedOutput.ts
@@ -1,8 +1,8 @@
 import { Writable } from 'node:stream'
 
 /** Buffered lines are written after this time in milliseconds, or once this many bytes are buffered. */
-const HOLD_MS = 20
-const HOLD_BYTES = 65_536
+const FLUSH_DELAY_MS = 20
+const MAX_BUFFERED_BYTES = 65_536
 
 /**
  * Writes log lines in batches, since each write to a pipe or file blocks the process and a request logs four
@@ -20,8 +20,8 @@
   override _write (chunk: Buffer, _encoding: string, done: () => void): void {
     this.held.push(chunk)
     this.bytes += chunk.byteLength
-    if (this.bytes >= HOLD_BYTES) this.flush()
-    else this.timer ??= setTimeout(() => { this.flush() }, HOLD_MS)
+    if (this.bytes >= MAX_BUFFERED_BYTES) this.flush()
+    else this.timer ??= setTimeout(() => { this.flush() }, FLUSH_DELAY_MS)
     done()
   }
 
--- a/packages/almondrelay/src/process/daemon/buildLimits.ts
+++ b/packages/almondrelay/src/process/daemon/buildLimits.ts
@@ -18,7 +18,7 @@
 import type { Platform } from '../platform/platform.js'
 import type { Host } from './host.js'
 
-interface LimitsBase {
+interface LimitsOptions {
   identity: HostIdentity
   platform: Platform
   clock: Clock
@@ -35,22 +35,22 @@
  * Creates the objects that enforce the limits of targets, regions, links and shifts on this host, and the tasks that
  * coordinate these limits with peers.
  */
-export function buildLimits (base: LimitsBase): Limits {
+export function buildLimits (base: LimitsOptions): Limits {
   const { identity, platform, clock, random, log, directory, links, isWatcher } = base
   const self = { name: identity.host, incarnation: identity.incarnation }
   const slots = new HostSlots(identity)
   const limits = new RegionLimits(identity, slots.claims)
   const lender = new RegionLender(self)
   const peers = new RemoteLimitPeers({ links, directory, sender: makeSender(identity) })
-  const lenderKeeper = new LenderElection({ platform, lender, self, region: identity.region, isWatcher, drift: defaultLimitsOptions.drift, clock, random, log })
-  const loans = new LoanTask({ limits, peers, clock, findRegionLender: () => lenderKeeper.find() })
+  const lenderElection = new LenderElection({ platform, lender, self, region: identity.region, isWatcher, drift: defaultLimitsOptions.drift, clock, random, log })
+  const loans = new LoanTask({ limits, peers, clock, findRegionLender: () => lenderElection.find() })
   return {
     slots,
     limits,
     lender,
-    lenderKeeper,
+    lenderElection: lenderElection,
     capacity: new HostCapacity({ region: identity.region, slots, limits, wakeLoans: () => { loans.wake() } }),
-    rosterKeeper: new RosterTask({ platform, slots, self, availabilityZone: identity.availabilityZone, isWatcher, clock, random, log }),
+    rosterTask: new RosterTask({ platform, slots, self, availabilityZone: identity.availabilityZone, isWatcher, clock, random, log }),
     slotLeases: new SlotLeaseTask({ slots, clock, peers }),
     loans
   }
--- a/packages/almondrelay/src/process/daemon/buildRequestPath.ts
+++ b/packages/almondrelay/src/process/daemon/buildRequestPath.ts
@@ -20,7 +20,7 @@
 import type { Clock } from '../platform/clock.js'
 import type { HostSettings } from '../settings/hostSettings.js'
 
-interface PathBase {
+interface RequestPathOptions {
   requests: HostSettings['requests']
   identity: HostIdentity
   clock: Clock
@@ -44,17 +44,17 @@
 /** Bytes of answers that the journal keeps: a quarter of the memory that a host may use for control data. */
 const MAX_JOURNAL_BYTES = 64 * 1_048_576
 /** Time by which callers' clocks may run ahead. */
-const MAX_SKEW_MS = 5_000
+const MAX_CLOCK_SKEW_MS = 5_000
 /** Longer than any credit is valid, and long enough for a peer that lost its connection to query the attempt. */
-const KEEP_ATTEMPT_MS = 30_000
+const ATTEMPT_RETENTION_MS = 30_000
 
 /** Creates the components that process a request from admission to its answer. */
-export function buildRequestPath (base: PathBase, signal: AbortSignal): RequestPath {
+export function buildRequestPath (base: RequestPathOptions, signal: AbortSignal): RequestPath {
   const { identity, clock, random, modules, recorder, slots, directory, links, targets } = base
   const { maxQueued, maxDeadlineMs, maxJournalEntries, journalRetentionMs } = base.requests
   const sender = makeSender(identity)
   const services = new Services({ identity, clock, random, modules, recorder, slots, directory, links, maxQueued, maxDeadlineMs, signal })
-  const journal = new Journal({ maxEntries: maxJournalEntries, maxRefused: maxJournalEntries, maxBytes: MAX_JOURNAL_BYTES, retentionMs: journalRetentionMs, maxSkewMs: MAX_SKEW_MS })
+  const journal = new Journal({ maxEntries: maxJournalEntries, maxRefused: maxJournalEntries, maxBytes: MAX_JOURNAL_BYTES, retentionMs: journalRetentionMs, maxSkewMs: MAX_CLOCK_SKEW_MS })
   const runner = new TargetRunner({ clock, slots, sender: targets, signal })
   const executor = new RequestExecutor({
     identity,
@@ -71,6 +71,6 @@
     journal,
     runner,
     handler,
-    peerRequests: new PeerRequests({ identity, clock, services, slots, attempts: new AttemptTable(KEEP_ATTEMPT_MS), runner, handler, maxDeadlineMs })
+    peerRequests: new PeerRequests({ identity, clock, services, slots, attempts: new AttemptTable(ATTEMPT_RETENTION_MS), runner, handler, maxDeadlineMs })
   }
 }
--- a/packages/almondrelay/src/process/daemon/followHostList.ts
+++ b/packages/almondrelay/src/process/daemon/followHostList.ts
@@ -2,7 +2,7 @@
 import type { PlatformHost } from '../platform/platformHost.js'
 import type { Host } from './host.js'
 
-const POLL_MS = 1_000
+const POLL_INTERVAL_MS = 1_000
 const TARGET_ROLE = 'target'
 
 /**
@@ -14,7 +14,7 @@
   const source = new LeavingSource(host.leavingTargets)
   while (!signal.aborted) {
     if (host.isWatcher()) await readHostList(host, source, signal)
-    await clock.sleep(POLL_MS, signal)
+    await clock.sleep(POLL_INTERVAL_MS, signal)
   }
 }
 
--- a/packages/almondrelay/src/process/daemon/host.ts
+++ b/packages/almondrelay/src/process/daemon/host.ts
@@ -52,9 +52,9 @@
   /** Combines slots and limits. */
   capacity: HostCapacity
   services: Services
-  rosterKeeper: RosterTask
+  rosterTask: RosterTask
   slotLeases: SlotLeaseTask
-  lenderKeeper: LenderElection
+  lenderElection: LenderElection
   loans: LoanTask
   journal: Journal
   runner: TargetRunner
--- a/packages/almondrelay/src/process/daemon/memberDirectory.ts
+++ b/packages/almondrelay/src/process/daemon/memberDirectory.ts
@@ -6,7 +6,7 @@
 import type { Clock } from '../platform/clock.js'
 
 /** Age in milliseconds at which the list is rebuilt; short compared with the heartbeat interval of 250 ms. */
-const LIST_MS = 25
+const MAX_LIST_AGE_MS = 25
 
 /** Directory of the entry hosts known to membership; the list is cached for MAX_LIST_AGE_MS or until membership changes. */
 export class MemberDirectory extends HostDirectory {
@@ -36,7 +36,7 @@
 
   private refresh (): void {
     const now = this.clock.getNow()
-    if (now - this.listedAt < LIST_MS) return
+    if (now - this.listedAt < MAX_LIST_AGE_MS) return
     this.listedAt = now
     this.listed = this.membership.listMembers(now).map(toKnownHost)
     this.byName = new Map(this.listed.map((host) => [host.name, host]))
--- a/packages/almondrelay/src/process/daemon/probeTargets.ts
+++ b/packages/almondrelay/src/process/daemon/probeTargets.ts
@@ -7,7 +7,7 @@
 
 const TargetHealth = z.object({ healthy: z.boolean(), leaving: z.boolean(), load: z.number() })
 
-const PROBE_MS = 1_000
+const PROBE_INTERVAL_MS = 1_000
 const PROBE_TIMEOUT_MS = 1_000
 const MAX_HEALTH_BYTES = 4_096
 
@@ -20,7 +20,7 @@
       const owned = slots.getFree(runtime.name, clock.getNow())
       return runtime.listTargets().filter((target) => owned.has(target.name)).map((target) => probeTarget(host, source, runtime, target, signal))
     })
-    await Promise.all([...probes, clock.sleep(PROBE_MS, signal)])
+    await Promise.all([...probes, clock.sleep(PROBE_INTERVAL_MS, signal)])
   }
 }
 
--- a/packages/almondrelay/src/process/daemon/reportLoad.ts
+++ b/packages/almondrelay/src/process/daemon/reportLoad.ts
@@ -1,7 +1,7 @@
 import type { Host } from './host.js'
 
 /** Loads are sent with heartbeats, so counting them more often has no use. */
-const REPORT_MS = 100
+const REPORT_INTERVAL_MS = 100
 
 /**
  * Periodically applies changes that trigger no event: targets reported as leaving, slots that became
@@ -21,6 +21,6 @@
     })
     membership.updateSelf({ loads })
     services.advance(now)
-    await clock.sleep(REPORT_MS, signal)
+    await clock.sleep(REPORT_INTERVAL_MS, signal)
   }
 }
--- a/packages/almondrelay/src/process/daemon/runTasks.ts
+++ b/packages/almondrelay/src/process/daemon/runTasks.ts
@@ -16,12 +16,12 @@
   followConfiguration(host, signal)
   followMembership(host, signal)
   await Promise.all([
-    takeConfiguration(host, signal),
+    runConfigurationTask(host, signal),
     runSnapshotWriter(host, signal),
     runExchanges(host.hub, signal),
-    host.rosterKeeper.run(signal),
+    host.rosterTask.run(signal),
     host.slotLeases.run(signal),
-    host.lenderKeeper.run(signal),
+    host.lenderElection.run(signal),
     host.loans.run(signal),
     host.accountWriter.run(signal),
     followHostList(host, signal),
@@ -41,13 +41,13 @@
   }, signal)
 }
 
-async function takeConfiguration (host: Host, signal: AbortSignal): Promise<void> {
+async function runConfigurationTask (host: Host, signal: AbortSignal): Promise<void> {
   const { store, platform, hub, clock, random, log } = host
-  const askPlatform = async (callSignal: AbortSignal): Promise<boolean> => {
+  const loadFromPlatform = async (callSignal: AbortSignal): Promise<boolean> => {
     await repairFromPlatform(platform, store, callSignal)
     return true
   }
-  await loadFirstConfiguration({ store, clock, random, log, listSources: () => [askPlatform, ...createPeerSources(hub)] }, signal)
+  await loadFirstConfiguration({ store, clock, random, log, listSources: () => [loadFromPlatform, ...createPeerSources(hub)] }, signal)
   await followPlatformChanges({ platform, store, clock, random, log, isWatcher: host.isWatcher }, signal)
 }
 
--- a/packages/almondrelay/src/process/daemon/stopHost.ts
+++ b/packages/almondrelay/src/process/daemon/stopHost.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '../platform/clock.js'
 import type { Host } from './host.js'
 
-const CHECK_MS = 20
+const CHECK_INTERVAL_MS = 20
 
 /**
  * Performs a planned stop. Look-ups stop returning this host immediately; the host continues to serve until the look-up
@@ -18,7 +18,7 @@
   host.membership.updateSelf({ isLeaving: true })
   log.info({ inFlight: handler.countInFlight(), cachedMs: host.lookups.maxTtlMs }, 'planned stop begins')
   const isBusy = (): boolean => clock.getNow() < cachedUntil || handler.countInFlight() > 0 || runner.countRunning() > 0
-  while (isBusy() && clock.getNow() < limitAt) await clock.sleep(CHECK_MS, never)
+  while (isBusy() && clock.getNow() < limitAt) await clock.sleep(CHECK_INTERVAL_MS, never)
   const unfinished = handler.countInFlight() + runner.countRunning()
   if (unfinished > 0) log.warn({ unfinished, ids: host.journal.listRunning() }, 'planned stop reached its limit: these requests are cut off')
   for (const server of servers) await closeServer(server, clock, unfinished > 0)
@@ -32,6 +32,6 @@
   if (force) server.closeAllConnections()
   while (!closed.signal.aborted) {
     server.closeIdleConnections()
-    await clock.sleep(CHECK_MS, closed.signal)
+    await clock.sleep(CHECK_INTERVAL_MS, closed.signal)
   }
 }
--- a/packages/almondrelay/src/process/settings/jsoncDocument.ts
+++ b/packages/almondrelay/src/process/settings/jsoncDocument.ts
@@ -17,7 +17,7 @@
     this.root = parseTree(text, errors, PARSE_OPTIONS)
     this.value = this.root === undefined || errors.length > 0 ? undefined : getNodeValue(this.root)
     this.problems = errors.map((error) => this.describeSyntaxError(error))
-    if (this.root !== undefined && errors.length === 0) this.collectDoubleKeys(this.root, '')
+    if (this.root !== undefined && errors.length === 0) this.collectDuplicateKeys(this.root, '')
     if (this.root === undefined && errors.length === 0) this.problems.push({ file, line: 1, path: '', found: 'an empty file', remedy: SYNTAX_REMEDY })
   }
 
@@ -36,7 +36,7 @@
   }
 
   // Reports duplicate keys: parsers use the last of two equal keys, so the first setting would silently have no effect.
-  private collectDoubleKeys (node: Node, path: string): void {
+  private collectDuplicateKeys (node: Node, path: string): void {
     const seen = new Set<string>()
     for (const [index, child] of (node.children ?? []).entries()) {
       const key = child.type === 'property' ? String(child.children?.[0]?.value) : String(index)
@@ -44,7 +44,7 @@
       if (seen.has(key)) this.problems.push({ file: this.file, line: this.countLines(child.offset), path: childPath, found: 'the same name a second time', remedy: 'keep one of the two' })
       seen.add(key)
       const value = child.type === 'property' ? child.children?.[1] : child
-      if (value !== undefined) this.collectDoubleKeys(value, childPath)
+      if (value !== undefined) this.collectDuplicateKeys(value, childPath)
     }
   }
 
--- a/packages/almondrelay/src/process/settings/listKnownNames.ts
+++ b/packages/almondrelay/src/process/settings/listKnownNames.ts
@@ -4,14 +4,14 @@
 export function listKnownNames (schema: z.core.$ZodType, path: readonly PropertyKey[]): string[] {
   let current = unwrapSchema(schema)
   for (const part of path) {
-    const next = findPart(current, part)
+    const next = findChildSchema(current, part)
     if (next === undefined) return []
     current = unwrapSchema(next)
   }
   return current instanceof z.ZodObject ? Object.keys(current.shape) : []
 }
 
-const findPart = (schema: z.core.$ZodType, part: PropertyKey): z.core.$ZodType | undefined => {
+const findChildSchema = (schema: z.core.$ZodType, part: PropertyKey): z.core.$ZodType | undefined => {
   if (schema instanceof z.ZodObject) return schema.shape[String(part)]
   if (schema instanceof z.ZodArray) return schema.element
   return undefined
