--- a/eslint.config.js
+++ b/eslint.config.js
@@ -13,7 +13,7 @@
   'packages/almondrelay-gateway/src/version/**/*.ts'
 ]
 
-const AMBIENT_TIME_AND_CHANCE = [
+const CLOCK_AND_RANDOM_PROPERTIES = [
   { object: 'Date', property: 'now', message: 'a decision module must not read the clock: pass the current time as an argument' },
   { object: 'performance', property: 'now', message: 'a decision module must not read the clock: pass the current time as an argument' },
   { object: 'Math', property: 'random', message: 'a decision module must not draw random numbers itself: pass the random source as an argument' }
@@ -54,7 +54,7 @@
     ignores: ['**/__tests__/**', '**/__fixtures__/**'],
     rules: {
       'no-restricted-imports': ['error', { patterns: [{ group: [...IO_MODULES, 'almondrelay-platform'], message: 'a decision module must not do I/O' }] }],
-      'no-restricted-properties': ['error', ...AMBIENT_TIME_AND_CHANCE],
+      'no-restricted-properties': ['error', ...CLOCK_AND_RANDOM_PROPERTIES],
       'no-restricted-globals': ['error', 'setTimeout', 'setInterval', 'fetch', 'process']
     }
   }
--- a/packages/almondrelay/scripts/measureDecisions.js
+++ b/packages/almondrelay/scripts/measureDecisions.js
@@ -3,10 +3,10 @@
 import { AdmissionQueue, createSeededRandom, TargetChooser } from '../dist/index.js'
 
 const ROUNDS = 200_000
-const WARM_ROUNDS = 20_000
+const WARM_UP_ROUNDS = 20_000
 const SERVICE_MS = 20
 const SLOTS = 6
-const NONE = new Set()
+const NO_EXCLUDED_TARGETS = new Set()
 
 /**
  * Measures rounds in virtual time. In each round a request arrives and is started or queued, another request ends, and the
@@ -22,7 +22,7 @@
   const running = []
   const gapMs = SERVICE_MS / (targetCount * SLOTS)
   let now = 0
-  const begin = (request, target) => {
+  const startRequest = (request, target) => {
     chooser.start(target, now, queue.findCost(request.route))
     free.set(target, free.get(target) - 1)
     running.push({ request, target, startedAt: now })
@@ -30,24 +30,24 @@
   const runRound = (index) => {
     now += gapMs
     const request = { id: `r${index}`, caller: `c${Math.floor(random() * callerCount)}`, key: '', route: 'GET /x', deadlineAt: now + 100_000, arrivedAt: now }
-    const choice = chooser.choose(free, NONE, now, random)
+    const choice = chooser.choose(free, NO_EXCLUDED_TARGETS, now, random)
     const decision = queue.offer(request, choice === undefined ? 0 : 1, chooser.capacity, now)
-    if (decision.kind === 'start') begin(request, choice.target)
+    if (decision.kind === 'start') startRequest(request, choice.target)
     if (running.length < targetCount * SLOTS * 0.95) return
     const ended = running.shift()
     const latencyMs = now - ended.startedAt
     free.set(ended.target, free.get(ended.target) + 1)
     chooser.finish(ended.target, { latencyMs, ok: true }, now)
     queue.finish(ended.request, latencyMs, now)
-    const next = chooser.choose(free, NONE, now, random)
+    const next = chooser.choose(free, NO_EXCLUDED_TARGETS, now, random)
     if (next === undefined) return
     const batch = queue.take(1, chooser.capacity, now)
-    for (const started of batch.start) begin(started, next.target)
+    for (const started of batch.start) startRequest(started, next.target)
   }
-  for (let index = 0; index < WARM_ROUNDS; index += 1) runRound(index)
-  const began = process.hrtime.bigint()
-  for (let index = 0; index < ROUNDS; index += 1) runRound(WARM_ROUNDS + index)
-  const microseconds = Number(process.hrtime.bigint() - began) / 1_000 / ROUNDS
+  for (let index = 0; index < WARM_UP_ROUNDS; index += 1) runRound(index)
+  const startedAtNs = process.hrtime.bigint()
+  for (let index = 0; index < ROUNDS; index += 1) runRound(WARM_UP_ROUNDS + index)
+  const microseconds = Number(process.hrtime.bigint() - startedAtNs) / 1_000 / ROUNDS
   return { targets: targetCount, callers: callerCount, microseconds: Number(microseconds.toFixed(2)), waiting: queue.waiting, knownCallers: queue.describe().knownCallers }
 }
 
--- a/scripts/runTests.js
+++ b/scripts/runTests.js
@@ -6,7 +6,7 @@
 import path from 'node:path'
 
 const CONCURRENCY = Math.max(1, Math.min(6, Math.floor(cpus().length / 2)))
-const FILE_LIMIT_MS = 300_000
+const FILE_TIMEOUT_MS = 300_000
 const TEST_FILE = /__tests__[/\\].*\.test\.js$/
 const COUNTS = /Total:\s+(\d+)[\s\S]*?Passed:\s+(\d+)/
 
@@ -18,14 +18,14 @@
     .sort()
 }
 
-function readKnownRed () {
+function readKnownFailures () {
   if (!existsSync('KNOWN-RED.txt')) return []
   return readFileSync('KNOWN-RED.txt', 'utf8').split('\n').filter((line) => line.trim() !== '' && !line.startsWith('#'))
 }
 
 function runFile (file) {
   return new Promise((resolve) => {
-    const child = spawn(process.execPath, ['--enable-source-maps', file], { stdio: ['ignore', 'pipe', 'pipe'], timeout: FILE_LIMIT_MS })
+    const child = spawn(process.execPath, ['--enable-source-maps', file], { stdio: ['ignore', 'pipe', 'pipe'], timeout: FILE_TIMEOUT_MS })
     let output = ''
     child.stdout.on('data', (data) => { output += data })
     child.stderr.on('data', (data) => { output += data })
@@ -53,22 +53,22 @@
   return results
 }
 
-const wanted = process.argv.slice(2)
-const files = [...listTestFiles('packages'), ...listTestFiles('platform')].filter((file) => wanted.length === 0 || wanted.some((part) => file.includes(part)))
-const knownRed = readKnownRed()
+const pathFilters = process.argv.slice(2)
+const files = [...listTestFiles('packages'), ...listTestFiles('platform')].filter((file) => pathFilters.length === 0 || pathFilters.some((pathFilter) => file.includes(pathFilter)))
+const knownFailures = readKnownFailures()
 const results = await runAll(files)
-let unexpected = 0
+let unexpectedFailures = 0
 for (const result of results.filter((each) => each.failed > 0)) {
-  const known = knownRed.find((line) => line.split(',')[0].trim() !== '' && result.file.includes(path.basename(line.split(',')[0].trim()).replace(/\.ts$/, '.js')))
-  if (known === undefined) unexpected += 1
-  console.log(`\n--- ${result.file} (exit ${result.code})${known ? ' KNOWN RED: ' + known : ''}\n${result.output}`)
+  const knownFailure = knownFailures.find((line) => line.split(',')[0].trim() !== '' && result.file.includes(path.basename(line.split(',')[0].trim()).replace(/\.ts$/, '.js')))
+  if (knownFailure === undefined) unexpectedFailures += 1
+  console.log(`\n--- ${result.file} (exit ${result.code})${knownFailure ? ' KNOWN RED: ' + knownFailure : ''}\n${result.output}`)
 }
-if (knownRed.length > 3) {
+if (knownFailures.length > 3) {
   console.log('KNOWN-RED.txt names more than three tests')
-  unexpected += 1
+  unexpectedFailures += 1
 }
 const passed = results.reduce((sum, each) => sum + each.passed, 0)
 const failed = results.reduce((sum, each) => sum + each.failed, 0)
-if (files.length === 0) unexpected += 1
+if (files.length === 0) unexpectedFailures += 1
 console.log(`${passed} passed, ${failed} failed`)
-process.exitCode = unexpected === 0 ? 0 : 1
+process.exitCode = unexpectedFailures === 0 ? 0 : 1
--- a/tools/eslint/functionVerb.js
+++ b/tools/eslint/functionVerb.js
@@ -12,8 +12,8 @@
   create (context) {
     const verbs = loadVerbs()
     const checkName = (node, name) => {
-      const word = FIRST_WORD.exec(name)?.[1]
-      if (word === undefined || verbs.has(word)) return
+      const firstWord = FIRST_WORD.exec(name)?.[1]
+      if (firstWord === undefined || verbs.has(firstWord)) return
       context.report({ node, messageId: 'verb', data: { name } })
     }
     return {
