--- a/packages/almondrelay/src/process/account/accountLimits.ts
+++ b/packages/almondrelay/src/process/account/accountLimits.ts
@@ -4,6 +4,6 @@
   maxRows: 2_000,
   /** Bytes of a page's rows; keeps the page below the platform's limit of one megabyte per value. */
   maxPageBytes: 900_000,
-  /** Pages kept while writes to the platform fail: one hour's worth. The oldest page is dropped first. */
+  /** Pages kept while writes to the platform fail: those of one hour. The oldest page is dropped first. */
   maxPages: 60
 }
--- a/packages/almondrelay/src/process/daemon/probeTargets.ts
+++ b/packages/almondrelay/src/process/daemon/probeTargets.ts
@@ -11,7 +11,7 @@
 const PROBE_TIMEOUT_MS = 1_000
 const MAX_HEALTH_BYTES = 4_096
 
-/** Polls the targets that this host owns every second for their health, their load and whether they are leaving. */
+/** Probes each target that this host owns once a second for its health, its load and whether it is leaving. */
 export async function probeTargets (host: Host, signal: AbortSignal): Promise<void> {
   const { clock, services, slots } = host
   const source = new LeavingSource(host.leavingTargets)
--- a/packages/almondrelay/src/process/daemon/runTasks.ts
+++ b/packages/almondrelay/src/process/daemon/runTasks.ts
@@ -30,7 +30,7 @@
   ])
 }
 
-/** Applies every revision that the store accepts immediately. */
+/** Applies every revision as soon as the store accepts it. */
 function followConfiguration (host: Host, signal: AbortSignal): void {
   const { store, services, clock, log } = host
   store.subscribe((configuration) => {
--- a/packages/almondrelay/src/process/platform/platformAnswers.ts
+++ b/packages/almondrelay/src/process/platform/platformAnswers.ts
@@ -12,7 +12,7 @@
   peerAddress: z.string().optional()
 })
 
-/** Bodies of the platform's answers. */
+/** Schemas of the bodies of the platform's answers. */
 export const platformAnswers = {
   entry: Entry,
   put: z.object({ stored: z.boolean(), version: z.number().int() }),
--- a/packages/almondrelay/src/process/platform/platformPutResult.ts
+++ b/packages/almondrelay/src/process/platform/platformPutResult.ts
@@ -1,4 +1,4 @@
-/** Whether a compare-and-swap took effect, and the key's version after it. */
+/** Result of a compare-and-swap: whether it took effect, and the key's version afterwards. */
 export interface PlatformPutResult {
   stored: boolean
   version: number
