--- a/packages/almondrelay/src/caller/sendToHost.ts
+++ b/packages/almondrelay/src/caller/sendToHost.ts
@@ -46,7 +46,7 @@
   }
 }
 
-function buildHeaders ({ call, caller, id, attempt, home, remainingMs: remainingMs }: SendOptions): Record<string, string> {
+function buildHeaders ({ call, caller, id, attempt, home, remainingMs }: SendOptions): Record<string, string> {
   const headers: Record<string, string> = {}
   for (const header of call.headers ?? []) headers[header.name] = header.value
   headers[HeaderName.id] = id
--- a/packages/almondrelay/src/connection/exchange/measureExchangeBytes.ts
+++ b/packages/almondrelay/src/connection/exchange/measureExchangeBytes.ts
@@ -48,7 +48,7 @@
   const exchangesPerSecond = computeSum(rates)
   const refreshes = computeSum(rates.map((rate) => Math.min(rate, 1_000 / computeRefreshMs(plan.length))))
   const bytesPerSecond = exchangesPerSecond * (2 * heartbeatBytes + FRAMING_BYTES) + refreshes * 2 * refreshBytes
-  return { neighbours: plan.length, exchangesPerSecond: exchangesPerSecond, heartbeatBytes, refreshBytes, bytesPerSecond: Math.round(bytesPerSecond) }
+  return { neighbours: plan.length, exchangesPerSecond, heartbeatBytes, refreshBytes, bytesPerSecond: Math.round(bytesPerSecond) }
 }
 
 function encodeMessage (self: Summary, summaries: number): number {
--- a/packages/almondrelay/src/connection/limits/__fixtures__/limitsZone.ts
+++ b/packages/almondrelay/src/connection/limits/__fixtures__/limitsZone.ts
@@ -41,7 +41,7 @@
       random: createSeededRandom(incarnation + name.length),
       log: bunyan.createLogger({ name: 'test', level: bunyan.FATAL + 1 })
     })
-    const host = { slots, rosterTask: rosterTask, stop: new AbortController() }
+    const host = { slots, rosterTask, stop: new AbortController() }
     this.hosts.set(name, host)
     this.slots.set(name, slots)
     const peers = new FakeLimitPeers(self, this.slots, this.disconnected, this.clock)
--- a/packages/almondrelay/src/connection/limits/__fixtures__/loanRegion.ts
+++ b/packages/almondrelay/src/connection/limits/__fixtures__/loanRegion.ts
@@ -95,7 +95,7 @@
       log: bunyan.createLogger({ name: 'test', level: bunyan.FATAL + 1 })
     })
     const stop = new AbortController()
-    this.hosts.set(name, { limits, lender, lenderElection: lenderElection, stop })
+    this.hosts.set(name, { limits, lender, lenderElection, stop })
     lenderElection.run(stop.signal).catch(() => undefined)
     const task = new LoanTask({ limits, peers: new FakeLoanPeers(self, this), clock, findRegionLender: () => lenderElection.find() })
     task.run(stop.signal).catch(() => undefined)
--- a/packages/almondrelay/src/process/daemon/buildLimits.ts
+++ b/packages/almondrelay/src/process/daemon/buildLimits.ts
@@ -29,7 +29,7 @@
   isWatcher: () => boolean
 }
 
-type Limits = Pick<Host, 'slots' | 'limits' | 'lender' | 'capacity' | 'rosterKeeper' | 'slotLeases' | 'lenderKeeper' | 'loans'>
+type Limits = Pick<Host, 'slots' | 'limits' | 'lender' | 'capacity' | 'rosterTask' | 'slotLeases' | 'lenderElection' | 'loans'>
 
 /**
  * Creates the objects that enforce the limits of targets, regions, links and shifts on this host, and the tasks that
@@ -48,7 +48,7 @@
     slots,
     limits,
     lender,
-    lenderElection: lenderElection,
+    lenderElection,
     capacity: new HostCapacity({ region: identity.region, slots, limits, wakeLoans: () => { loans.wake() } }),
     rosterTask: new RosterTask({ platform, slots, self, availabilityZone: identity.availabilityZone, isWatcher, clock, random, log }),
     slotLeases: new SlotLeaseTask({ slots, clock, peers }),
--- a/packages/almondrelay/src/process/daemon/releaseZone.ts
+++ b/packages/almondrelay/src/process/daemon/releaseZone.ts
@@ -7,7 +7,7 @@
 
 /** Releases what this host holds, after its last request, so that peers need not wait for evidence that it has ended. */
 export async function releaseZone (host: Host): Promise<void> {
-  const { rosterTask: rosterTask, membership, settings, clock, log } = host
+  const { rosterTask, membership, settings, clock, log } = host
   const timeout = AbortSignal.timeout(LEAVE_TIMEOUT_MS)
   await rosterTask.removeSelf(timeout).catch((error: unknown) => {
     log.warn({ err: error }, 'host not removed from the roster; peers take over once they have evidence that this process has ended')
--- a/packages/almondrelay/src/process/membership/leavingTargets.ts
+++ b/packages/almondrelay/src/process/membership/leavingTargets.ts
@@ -31,7 +31,7 @@
     const reportedAt = now - report.ageMs
     if (report.ageMs > MAX_REPORT_AGE_MS || (known !== undefined && known.reportedAt >= reportedAt)) return false
     const isChange = (known?.isLeaving ?? false) !== report.isLeaving
-    this.entries.set(key, { service: report.service, target: report.target, isLeaving: report.isLeaving, reportedAt: reportedAt })
+    this.entries.set(key, { service: report.service, target: report.target, isLeaving: report.isLeaving, reportedAt })
     if (isChange) this.changeTracker.mark(key)
     return isChange
   }
--- a/packages/almondrelay/src/process/membership/membership.ts
+++ b/packages/almondrelay/src/process/membership/membership.ts
@@ -162,7 +162,7 @@
     const members = this.listMembers(now)
     const self = members.find((member) => member.host === this.options.self.host) as Member
     const probeCandidates = listTries(this.entries.values()).map((entry) => this.describeMember(entry, new Set(), now))
-    const plan = planNeighbours({ self, members, heartbeatMs: this.options.heartbeatMs, probeCandidates: probeCandidates, getLastFailedAt: (host) => this.entries.get(host)?.lastFailedAt ?? -Infinity, chooseWatchers: (zone) => chooseWatchers(members, zone) })
+    const plan = planNeighbours({ self, members, heartbeatMs: this.options.heartbeatMs, probeCandidates, getLastFailedAt: (host) => this.entries.get(host)?.lastFailedAt ?? -Infinity, chooseWatchers: (zone) => chooseWatchers(members, zone) })
     this.silence.setIntervals(plan, now)
     return plan
   }
--- a/packages/almondrelay/src/request/choice/targetState.ts
+++ b/packages/almondrelay/src/request/choice/targetState.ts
@@ -81,7 +81,7 @@
 
   start (expectedMs: number | undefined, typicalRatio: number, now: number): void {
     const overdueAfterMs = expectedMs === undefined ? UNKNOWN_COST_TIMEOUT_MS : Math.max(MIN_OVERDUE_MS, OVERDUE_FACTOR * expectedMs * typicalRatio)
-    this.attempts.push({ startedAt: now, overdueAfterMs: overdueAfterMs, expectedMs })
+    this.attempts.push({ startedAt: now, overdueAfterMs, expectedMs })
     this.lastUsedAt = now
   }
 
--- a/packages/almondrelay/src/version/clientBlocks/clientBlocks.ts
+++ b/packages/almondrelay/src/version/clientBlocks/clientBlocks.ts
@@ -71,6 +71,6 @@
   for (const text of list ?? []) {
     const prefix = seen.has(text) ? undefined : parsePrefix(text)
     seen.add(text)
-    if (prefix !== undefined) blocks.push({ start: prefix.start, length: prefix.length, regionNumber: regionNumber })
+    if (prefix !== undefined) blocks.push({ start: prefix.start, length: prefix.length, regionNumber })
   }
 }
--- a/packages/almondrelay/src/version/clientBlocks/familyTable.ts
+++ b/packages/almondrelay/src/version/clientBlocks/familyTable.ts
@@ -104,7 +104,7 @@
 // Removes one occurrence of each removed block.
 const removeOnce = (blocks: ChunkBlock[], removed: readonly ChunkBlock[]): ChunkBlock[] => {
   if (removed.length === 0) return blocks
-  const makeKey = ({ key, size, regionNumber: regionNumber }: ChunkBlock): string => `${key}/${size}/${regionNumber}`
+  const makeKey = ({ key, size, regionNumber }: ChunkBlock): string => `${key}/${size}/${regionNumber}`
   const counts = new Map<string, number>()
   for (const block of removed) counts.set(makeKey(block), (counts.get(makeKey(block)) ?? 0) + 1)
   return blocks.filter((block) => {
